--- /dev/null
+++ b/core/fleet/tests/golden.rs
@@ -0,0 +1,420 @@
+//! Encodings that members send each other, and of the state that they agree on.
+
+use elmtide_agreed::wire::{Message, Sort};
+use elmtide_agreed::{CommandId, Machine, VoterId};
+use elmtide_budgets::granter::{Answer, Ask};
+use elmtide_budgets::state::{FloorRule, Refused, Settled};
+use elmtide_budgets::{Command, Demand, FrontId, Holder, Incarnation, Key, Kind, Number};
+use elmtide_fleet::frame::Frames;
+use elmtide_fleet::word::Hello;
+use elmtide_fleet::{Agreed, Change, Outcome, Word};
+use elmtide_golden::GoldenFile;
+use elmtide_sites::state::{SiteId, Standing};
+use elmtide_sites::view::Since;
+use elmtide_sites::watch::{Looks as SiteLooks, Word as SiteWord};
+use elmtide_work::plan::Wait;
+use elmtide_work::state::{Bound, Job, Step, Way};
+use elmtide_work::view::{Details, Looks, Placed, Sight, Work};
+use elmtide_work::{BackBy, Bounds, JobId, MachineId, Said, Spec, Stage, View};
+
+fn golden(name: &str) -> GoldenFile {
+    GoldenFile::new(format!("{}/tests/golden/{name}", env!("CARGO_MANIFEST_DIR")))
+}
+
+fn holder(front: u64) -> Holder {
+    Holder { front: FrontId(front), incarnation: Incarnation(3) }
+}
+
+fn key(kind: Kind) -> Key {
+    Key { kind, id: 77 }
+}
+
+fn machine(n: u64) -> MachineId {
+    MachineId::of(&format!("m{n}"))
+}
+
+fn ask() -> Ask {
+    let demand = Demand { high: 5, low: 600_000, least: 1000, fills_ms: 250 };
+    let wants = Kind::ALL.into_iter().map(|kind| (key(kind), demand)).collect();
+    Ask { holder: holder(1), ask: 99, seen: Number(12), floors_seen: Number(4), wants }
+}
+
+fn answer() -> Answer {
+    Answer {
+        holder: holder(1),
+        ask: 99,
+        number: Number(13),
+        shares: vec![(key(Kind::Retries), 250_000), (key(Kind::Origin), 1)],
+        floors_number: Number(5),
+        floors: vec![(Kind::ShopRate, 10_000)],
+        lease: 3_000_000,
+        list: 8,
+    }
+}
+
+fn work_said() -> Said {
+    let sight = |looks, work| Sight { looks, born: 1_700_000_000_000, warm: 40, load: 900, work };
+    Said {
+        seen: Some(Number(6)),
+        clear: vec![machine(1)],
+        sights: vec![
+            (machine(1), sight(Looks::Ready, Work::NoneSent)),
+            (machine(2), sight(Looks::Draining, Work::NoneDone)),
+            (machine(3), sight(Looks::Failing, Work::Done)),
+            (machine(4), sight(Looks::Absent, Work::Done)),
+        ],
+        strained: true,
+        looks: true,
+    }
+}
+
+fn way(stage: Stage) -> Way {
+    Way {
+        job: JobId(2),
+        stage,
+        number: Number(6),
+        began: 1000,
+        since: 2000,
+        permit: 4,
+        born: 500,
+        listed: true,
+        word: false,
+        overdue: true,
+        called_off: false,
+    }
+}
+
+fn waits() -> Vec<Wait> {
+    vec![
+        Wait::Held,
+        Wait::Bound(Bound::Location),
+        Wait::Bound(Bound::Hub),
+        Wait::Bound(Bound::Kind),
+        Wait::Bound(Bound::Pair(machine(9))),
+        Wait::Bound(Bound::Voters),
+        Wait::Load { bears: 900, wanted: 1200 },
+        Wait::Hours,
+        Wait::Strained(FrontId(2)),
+        Wait::Lost(machine(2)),
+        Wait::Overdue(machine(3)),
+        Wait::NotSeen(FrontId(3)),
+        Wait::Open(FrontId(4)),
+        Wait::NotHeard(FrontId(5)),
+        Wait::HandOver,
+        Wait::Majority,
+        Wait::Work,
+        Wait::Warms(30),
+        Wait::Fails(FrontId(6)),
+        Wait::Unproven(FrontId(7)),
+        Wait::NotReady,
+        Wait::Turn,
+    ]
+}
+
+fn work_view() -> View {
+    let job = Job {
+        by: "ops".into(),
+        reason: "kernel".into(),
+        minutes: 20,
+        held: true,
+        called_off: false,
+        first: vec![machine(1)],
+        machines: 4,
+        done: 1,
+        spared: 2,
+        began: 900,
+        ended: Some(950),
+    };
+    let details = Details {
+        jobs: vec![(JobId(2), job)],
+        ways: Stage::ALL.into_iter().map(|stage| (machine(1), way(stage))).collect(),
+        waits: waits().into_iter().map(|wait| (machine(2), wait)).collect(),
+        missing: vec![machine(3)],
+        took: Some(60_000),
+        at: 1_700_000_000_123,
+    };
+    let placed = Stage::ALL.into_iter().map(|stage| Placed {
+        machine: machine(1),
+        at: Some("127.0.0.1:9000".parse().unwrap()),
+        stage,
+    });
+    View { number: Number(6), version: 3, placed: Some(placed.collect()), details: Some(Box::new(details)) }
+}
+
+fn site_words() -> Vec<(SiteId, SiteWord)> {
+    let word = |fronts, boxes| SiteWord { fronts, boxes };
+    vec![
+        (SiteId(1), word(SiteLooks::Silent, SiteLooks::Silent)),
+        (SiteId(2), word(SiteLooks::Heard, SiteLooks::Poor)),
+    ]
+}
+
+fn sites_said() -> elmtide_sites::Said {
+    elmtide_sites::Said { words: site_words(), seen: Some(4), caught_up: true, warm: false, strained: true }
+}
+
+fn sites_view() -> elmtide_sites::View {
+    let since = Since { at: 1_700_000_000_000, by_operator: true };
+    let sites = Standing::ALL.into_iter().map(|standing| (standing, since)).collect();
+    elmtide_sites::View { number: 4, version: 2, sites }
+}
+
+fn raft_message() -> Message {
+    Message {
+        sort: Sort::Heartbeat,
+        from: VoterId(11),
+        to: VoterId(12),
+        term: 2,
+        log_term: 0,
+        index: 0,
+        entries: Vec::new(),
+        commit: 9,
+        commit_term: 2,
+        snapshot: None,
+        request_snapshot: 0,
+        reject: false,
+        reject_hint: 0,
+        context: Vec::new(),
+    }
+}
+
+fn messages() -> Vec<(&'static str, Word)> {
+    let id = CommandId { asker: 1, run: 3, seq: 7 };
+    let hello = Hello { voter: Some(VoterId(11)), begun: true, seen: 3, asks: false };
+    vec![
+        ("peers", Word::Peers(vec![1, 2, 3])),
+        ("hello", Word::Hello(hello)),
+        ("raft", Word::Raft(Box::new(raft_message()))),
+        ("ask", Word::Ask(ask())),
+        ("answer", Word::Answer(answer())),
+        ("elsewhere", Word::Elsewhere(Some(FrontId(3)))),
+        ("poke", Word::Poke),
+        ("submit", Word::Submit(id, Change::Budgets(Command::Leave { holder: holder(1) }))),
+        ("told", Word::Told(id, Outcome::Done)),
+        ("ask_work", Word::AskWork(ask(), work_said())),
+        ("answer_work", Word::AnswerWork(answer(), work_view())),
+        ("ask_sites", Word::AskSites(ask(), Some(work_said()), sites_said())),
+        ("answer_sites", Word::AnswerSites(answer(), Some(work_view()), sites_view())),
+        ("here", Word::Here),
+    ]
+}
+
+#[test]
+fn each_kind_of_message_keeps_its_encoding() {
+    let mut file = golden("messages.txt");
+    for (name, message) in messages() {
+        file.value(name, &message);
+    }
+    file.check();
+}
+
+/// Version, MAC, header and fragments: one front's datagrams for another, which opens each of them.
+#[test]
+fn datagrams_keep_their_bytes() {
+    let frames = |me, incarnation| {
+        Frames::new(b"key", "duna", FrontId(me), incarnation, [FrontId(1), FrontId(2)].into_iter())
+    };
+    let (mut sender, mut receiver) = (frames(1, 3), frames(2, 8));
+    let mut file = golden("datagrams.txt");
+    let long = Word::Peers((0..3000u32).map(|n| n as u8).collect());
+    for (name, message) in messages().into_iter().chain([("long", long)]) {
+        let datagrams = sender.seal(FrontId(2), &message);
+        let mut opened = None;
+        for (place, datagram) in datagrams.iter().enumerate() {
+            file.bytes(&format!("{name}_{place}"), datagram);
+            opened = receiver.open(datagram);
+        }
+        assert_eq!(opened, Some((FrontId(1), message)), "{name}");
+    }
+    file.check();
+}
+
+fn budget_commands() -> Vec<Command> {
+    let rule = FloorRule { parts: 200_000, least: 10_000 };
+    let floors = vec![(Kind::Retries, rule), (Kind::ShopRate, rule)];
+    let share = |front, parts| (holder(front), key(Kind::Retries), parts);
+    vec![
+        Command::List { version: 1, fronts: vec![FrontId(1), FrontId(2)], floors, lease: 3_000_000 },
+        Command::Join { holder: holder(1) },
+        Command::Join { holder: holder(2) },
+        Command::Divide { changes: vec![share(1, 500_000), share(2, 200_000)] },
+        Command::Divide { changes: vec![share(1, 300_000)] },
+        Command::Settle {
+            settled: vec![
+                Settled::Share { holder: holder(1), key: key(Kind::Retries), number: Number(1) },
+                Settled::Floor { front: FrontId(1), kind: Kind::Retries, number: Number(2) },
+            ],
+        },
+        Command::Lapse { holder: holder(2), number: Number(5) },
+        Command::Leave { holder: holder(2) },
+        Command::Forget { front: FrontId(9) },
+    ]
+}
+
+fn bounds() -> Bounds {
+    Bounds {
+        of_location: 1,
+        of_hub: 2,
+        of_kind: 3,
+        pairs: vec![(machine(1), machine(2))],
+        margin: 15,
+        further: true,
+        back: BackBy::Both,
+        closed: vec![(480, 540)],
+    }
+}
+
+fn specs() -> Vec<Spec> {
+    let spec = |n: u64, front| Spec {
+        name: format!("m{n}"),
+        location: 1,
+        hub: 0,
+        kind: 2,
+        weight: 1000,
+        at: Some(format!("127.0.0.1:{}", 9000 + n).parse().unwrap()),
+        front,
+    };
+    vec![spec(1, None), spec(2, None), spec(3, Some((FrontId(1), true)))]
+}
+
+fn work_commands() -> Vec<elmtide_work::Command> {
+    use elmtide_work::Command;
+    let job = JobId(1);
+    let step = |number, step| Command::Step { machine: machine(1), number: Number(number), step, at: 2000 };
+    vec![
+        Command::Layout { version: 1, machines: specs(), bounds: bounds() },
+        Command::Out {
+            machines: vec![machine(1), machine(2)],
+            by: "ops".into(),
+            reason: "disks".into(),
+            minutes: 30,
+            at: 1000,
+        },
+        Command::Hold { job },
+        Command::GoOn { job },
+        Command::Reorder { job, first: vec![machine(2)] },
+        step(0, Step::Next),
+        Command::Seen { fronts: vec![(holder(1), Number(1)), (holder(2), Number(1))] },
+        Command::Off { front: FrontId(2) },
+        step(1, Step::Leave),
+        step(2, Step::Empty),
+        step(3, Step::Release { born: 400 }),
+        step(4, Step::Overdue),
+        step(4, Step::Listed),
+        Command::Word { machine: machine(1) },
+        step(4, Step::Return),
+        step(5, Step::Warm),
+        step(6, Step::In),
+        step(9, Step::CallBack),
+        Command::CallOff { job, machine: Some(machine(2)) },
+    ]
+}
+
+fn site_commands() -> Vec<elmtide_sites::Command> {
+    use elmtide_sites::Command;
+    let lost = SiteWord { fronts: SiteLooks::Silent, boxes: SiteLooks::Silent };
+    vec![
+        Command::Layout { version: 1, sites: 4, patience: 1000, ceiling: 16_000 },
+        Command::Say { by: SiteId(1), words: vec![(SiteId(0), lost)], at: 10_000 },
+        Command::Say { by: SiteId(2), words: vec![(SiteId(0), lost)], at: 10_000 },
+        Command::Declare { site: SiteId(0), number: 0, at: 11_500 },
+        Command::Step { site: SiteId(0), number: 1, to: Standing::Contact, at: 12_000 },
+        Command::Operator { site: SiteId(3), lost: true, at: 13_000 },
+    ]
+}
+
+/// Every command by its encoding, and the state after each of them.
+#[test]
+fn commands_and_the_agreed_state_keep_their_encoding() {
+    let mut file = golden("agreed.txt");
+    let mut agreed = Agreed::default();
+    let budgets = budget_commands().into_iter().map(Change::Budgets);
+    let seat = [Change::Seat { front: FrontId(1), voter: VoterId(11) }];
+    let work = work_commands().into_iter().map(Change::Work);
+    let sites = site_commands().into_iter().map(Change::Sites);
+    // Fronts that are there have to see what machines do: the budgets' commands up to the last join go first.
+    let changes: Vec<Change> = budgets.chain(seat).chain(work).chain(sites).collect();
+    for (place, change) in changes.iter().enumerate() {
+        file.value(&format!("command_{place}"), change);
+        let outcome = agreed.apply(change);
+        file.value(&format!("outcome_{place}"), &outcome);
+        let snapshot = agreed.snapshot();
+        assert_eq!(Agreed::restore(&snapshot).as_ref(), Some(&agreed), "after {change:?}");
+        file.bytes(&format!("state_{place}"), &snapshot);
+    }
+    file.check();
+}
+
+/// Snapshots of versions that had no maintenance jobs, or no sites, end where those begin.
+#[test]
+fn snapshots_of_earlier_versions_are_still_read() {
+    let mut agreed = Agreed::default();
+    for command in budget_commands() {
+        agreed.apply(&Change::Budgets(command));
+    }
+    agreed.apply(&Change::Seat { front: FrontId(1), voter: VoterId(11) });
+    let early =
+        [postcard::to_allocvec(&agreed.budgets).unwrap(), postcard::to_allocvec(&agreed.seats).unwrap()];
+    let restored = Agreed::restore(&early.concat()).expect("a snapshot without jobs");
+    assert_eq!((restored.budgets, restored.seats), (agreed.budgets.clone(), agreed.seats.clone()));
+    let with_work = [early.concat(), postcard::to_allocvec(&agreed.work).unwrap()].concat();
+    let restored = Agreed::restore(&with_work).expect("a snapshot without sites");
+    assert_eq!(restored.work, agreed.work);
+}
+
+#[test]
+fn outcomes_keep_their_encoding() {
+    let mut file = golden("outcomes.txt");
+    let refused = [
+        Refused::OldList,
+        Refused::TooMany,
+        Refused::OverWhole,
+        Refused::NotListed,
+        Refused::Superseded,
+        Refused::Changed,
+        Refused::StillListed,
+    ];
+    for (place, refused) in refused.into_iter().enumerate() {
+        file.value(&format!("budgets_{place}"), &Outcome::Refused(refused));
+    }
+    file.value("no_seat", &Outcome::NoSeat);
+    use elmtide_work::Refused as Work;
+    let refused = [
+        Work::OldLayout,
+        Work::TooMany,
+        Work::Unknown(machine(1)),
+        Work::InJob(machine(1), JobId(2)),
+        Work::NoJob,
+        Work::Changed,
+        Work::NotThere,
+        Work::NotReleased(machine(1)),
+        Work::Released(machine(1)),
+        Work::Held,
+        Work::Bound(Bound::Voters),
+        Work::NotSeen(FrontId(2)),
+        Work::Untracked,
+        Work::LastOf(machine(1)),
+        Work::TooLong,
+        Work::IsOff(FrontId(2)),
+    ];
+    file.value("work_done", &Outcome::Work(Ok(JobId(2))));
+    for (place, refused) in refused.into_iter().enumerate() {
+        file.value(&format!("work_{place}"), &Outcome::Work(Err(refused)));
+    }
+    use elmtide_sites::Refused as Sites;
+    let refused = [
+        Sites::OldLayout,
+        Sites::TooMany,
+        Sites::Unknown(SiteId(1)),
+        Sites::Changed,
+        Sites::Words { there: 1, needed: 2 },
+        Sites::Patience(300),
+        Sites::ByOperator,
+        Sites::NotNext,
+    ];
+    file.value("sites_done", &Outcome::Sites(Ok(())));
+    for (place, refused) in refused.into_iter().enumerate() {
+        file.value(&format!("sites_{place}"), &Outcome::Sites(Err(refused)));
+    }
+    file.check();
+}
--- a/front/src/fleet/config.rs
+++ b/front/src/fleet/config.rs
@@ -528,4 +528,27 @@
         let said = FleetConfig::parse(&GOOD.replace(from, to)).unwrap_err();
         assert!(said.contains(why), "{said}");
     }
+
+    /// What all fronts have to agree on, from a file with every key.
+    #[test]
+    fn the_settings_of_the_golden_file_keep_their_encoding() {
+        let golden = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/golden");
+        let text = std::fs::read_to_string(format!("{golden}/fleet.toml")).unwrap();
+        let settings = FleetConfig::parse(&text).unwrap().settings(3000.0).unwrap();
+        let mut file = elmtide_golden::GoldenFile::new(format!("{golden}/fleet_settings.txt"));
+        file.line(&format!("version {} tick {}", settings.version, settings.tick));
+        for front in &settings.fronts {
+            file.line(&format!("front {:x} site {} votes {}", front.id.0, front.site, front.votes));
+        }
+        file.value("floors", &settings.floors);
+        file.value("terms", &settings.terms);
+        let (machines, bounds) = settings.work.unwrap();
+        file.value("machines", &machines);
+        file.value("bounds", &bounds);
+        let rules = settings.sites.unwrap();
+        let (sites, patience, ceiling, pace) = (rules.sites, rules.patience, rules.ceiling, rules.pace);
+        file.line(&format!("sites {sites} patience {patience} ceiling {ceiling} pace {pace}"));
+        file.value("fronts_of_sites", &rules.fronts);
+        file.check();
+    }
 }
