--- a/core/agreed/tests/agreed.rs
+++ b/core/consensus/tests/voters.rs
@@ -3,9 +3,9 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use elmtide_agreed::log::Stored;
-use elmtide_agreed::voter::{first_state, NotTaken};
-use elmtide_agreed::{CommandId, Machine, Message, Role, Voter, VoterConfig, VoterId};
+use elmtide_consensus::records::StoredLog;
+use elmtide_consensus::voter::{initial_snapshot, ProposalError};
+use elmtide_consensus::{CommandId, Message, Role, StateMachine, Voter, VoterId};
 use rand::{Rng, RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 struct List(Vec<u64>);
 
-impl Machine for List {
+impl StateMachine for List {
     type Command = u64;
     type Outcome = u64;
 
@@ -34,7 +34,7 @@
 
 struct World {
     random: ChaCha8Rng,
-    stores: BTreeMap<VoterId, Stored>,
+    stores: BTreeMap<VoterId, StoredLog>,
     voters: BTreeMap<VoterId, Voter<List>>,
     network: VecDeque<Message>,
     loss: f64,
@@ -43,7 +43,7 @@
     crash: f64,
     cut: Vec<VoterId>,
     trace: Vec<String>,
-    confirmed: Vec<u64>,
+    acknowledged_reads: Vec<u64>,
     sample: Option<Message>,
 }
 
@@ -64,12 +64,12 @@
             crash: 0.0,
             cut: Vec::new(),
             trace: Vec::new(),
-            confirmed: Vec::new(),
+            acknowledged_reads: Vec::new(),
             sample: None,
         };
         for voter in &ids {
-            let mut stored = Stored::default();
-            stored.take(&first_state::<List>(&ids));
+            let mut stored = StoredLog::default();
+            stored.apply(&initial_snapshot::<List>(&ids));
             world.stores.insert(*voter, stored);
             world.start(*voter);
         }
@@ -78,7 +78,7 @@
 
     fn start(&mut self, voter: VoterId) {
         let stored = self.stores.entry(voter).or_default().clone();
-        self.voters.insert(voter, Voter::new(VoterConfig { id: voter }, stored).unwrap());
+        self.voters.insert(voter, Voter::restore(voter, stored).unwrap());
     }
 
     fn draw(&mut self, chance: f64) -> bool {
@@ -101,21 +101,21 @@
     }
 
     /// All that a voter has to do; it may lose power before or after its store has synced.
-    fn work(&mut self, voter: VoterId) {
+    fn run_ready(&mut self, voter: VoterId) {
         loop {
-            let Some(work) = self.voters.get_mut(&voter).and_then(|v| v.work()) else { return };
-            self.post(work.now.clone());
+            let Some(ready) = self.voters.get_mut(&voter).and_then(|v| v.ready()) else { return };
+            self.post(ready.messages.clone());
             if self.draw(self.crash) {
                 return self.start(voter);
             }
-            self.stores.get_mut(&voter).unwrap().take(&work.persist);
+            self.stores.get_mut(&voter).unwrap().apply(&ready.update);
             if self.draw(self.crash) {
                 return self.start(voter);
             }
-            let done = self.voters.get_mut(&voter).unwrap().done(work);
-            self.post(done.send);
-            self.confirmed.extend(done.confirmed);
-            self.stores.get_mut(&voter).unwrap().take(&done.compact);
+            let progress = self.voters.get_mut(&voter).unwrap().advance(ready);
+            self.post(progress.messages);
+            self.acknowledged_reads.extend(progress.acknowledged_reads);
+            self.stores.get_mut(&voter).unwrap().apply(&progress.compaction);
         }
     }
 
@@ -123,7 +123,7 @@
         let ids: Vec<VoterId> = self.voters.keys().copied().collect();
         for voter in &ids {
             self.voters.get_mut(voter).unwrap().tick();
-            self.work(*voter);
+            self.run_ready(*voter);
         }
         // Messages come in any order; what is cut off sends and hears nothing.
         for _ in 0..self.network.len().min(200) {
@@ -135,7 +135,7 @@
             let to = message.to;
             if let Some(voter) = self.voters.get_mut(&to) {
                 voter.on_message(message);
-                self.work(to);
+                self.run_ready(to);
             }
         }
         self.trace
@@ -158,16 +158,17 @@
 
     /// Sends a command again and again until it has counted.
     fn put(&mut self, seq: u64, value: u64) {
-        let command = CommandId { asker: 7, run: 1, seq };
+        let command = CommandId { client: 7, incarnation: 1, sequence: seq };
         for _ in 0..2000 {
-            let counted =
-                |v: &Voter<List>| matches!(v.seen(command), elmtide_agreed::sessions::Seen::Again(_));
+            let counted = |v: &Voter<List>| {
+                matches!(v.command_status(command), elmtide_consensus::sessions::CommandStatus::Duplicate(_))
+            };
             if self.voters.values().filter(|v| counted(v)).count() * 2 > self.voters.len() {
                 return;
             }
             if let Some(leader) = self.leader() {
                 let _ = self.voters.get_mut(&leader).unwrap().propose(Some(command), &value);
-                self.work(leader);
+                self.run_ready(leader);
             }
             self.step();
         }
@@ -227,12 +228,12 @@
     world.cut.push(leader);
     let old = world.voters.get_mut(&leader).unwrap();
     assert_eq!(old.role(), Role::Leader);
-    old.confirm(77);
+    old.read_index(77);
     old.propose(None, &5).unwrap();
     for _ in 0..60 {
         world.step();
     }
-    assert!(world.confirmed.is_empty());
+    assert!(world.acknowledged_reads.is_empty());
     let next = world.lead();
     assert_ne!(next, leader);
     world.put(1, 9);
@@ -249,11 +250,11 @@
 fn a_round_ends_at_a_leader_that_leads() {
     let mut world = World::new(4, &[1, 2, 3]);
     let leader = world.lead();
-    world.voters.get_mut(&leader).unwrap().confirm(41);
+    world.voters.get_mut(&leader).unwrap().read_index(41);
     for _ in 0..20 {
         world.step();
     }
-    assert_eq!(world.confirmed, [41]);
+    assert_eq!(world.acknowledged_reads, [41]);
 }
 
 /// A voter that lost its store comes back with another number, is taken in for the old one, and learns all by a state.
@@ -271,7 +272,7 @@
     let leader = world.lead();
     world.voters.get_mut(&leader).unwrap().change_voters(vec![id(99)], vec![lost]).unwrap();
     let again = world.voters.get_mut(&leader).unwrap().change_voters(vec![], vec![]);
-    assert_eq!(again, Err(NotTaken::Changing));
+    assert_eq!(again, Err(ProposalError::VoterChangeInProgress));
     for _ in 0..300 {
         world.step();
     }
@@ -295,7 +296,7 @@
     for n in 0..3000u64 {
         let leader = world.lead();
         world.voters.get_mut(&leader).unwrap().propose(None, &n).unwrap();
-        world.work(leader);
+        world.run_ready(leader);
     }
     world.settle();
     for (id, voter) in &world.voters {
@@ -303,8 +304,8 @@
         assert!(voter.log_len() < 1400, "{} entries are kept", voter.log_len());
     }
     let stored = world.stores[&away].clone();
-    assert!(stored.is_whole());
-    let again: Voter<List> = Voter::new(VoterConfig { id: away }, stored).unwrap();
+    assert!(stored.is_consistent());
+    let again: Voter<List> = Voter::restore(away, stored).unwrap();
     assert!(again.machine().0.len() > 1000);
 }
 
--- a/core/fleet/src/machine.rs
+++ b/core/fleet/src/machine.rs
@@ -2,9 +2,9 @@
 
 use std::collections::BTreeMap;
 
-use elmtide_agreed::{Machine, VoterId};
 use elmtide_budgets::state::Refused;
 use elmtide_budgets::{Command, FrontId, State};
+use elmtide_consensus::{StateMachine, VoterId};
 use elmtide_work::JobId;
 use serde::{Deserialize, Serialize};
 
@@ -54,7 +54,7 @@
     }
 }
 
-impl Machine for Agreed {
+impl StateMachine for Agreed {
     type Command = Change;
     type Outcome = Outcome;
 
--- a/core/fleet/src/member.rs
+++ b/core/fleet/src/member.rs
@@ -2,16 +2,16 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use elmtide_agreed::log::{Persist, Stored};
-use elmtide_agreed::sessions::Seen as Counts;
-use elmtide_agreed::voter::first_state;
-use elmtide_agreed::{CommandId, Done, Role, Voter, VoterConfig, VoterId, Work};
 use elmtide_budgets::lessee::{Floors, Grant};
 use elmtide_budgets::state::FloorRule;
 use elmtide_budgets::{
     Clocks, Command, Demand, FrontId, Granter, Holder, Incarnation, Key, Kind, Lessee, Micros, Number, Parts,
     State, Terms,
 };
+use elmtide_consensus::records::{StorageUpdate, StoredLog};
+use elmtide_consensus::sessions::CommandStatus;
+use elmtide_consensus::voter::initial_snapshot;
+use elmtide_consensus::{CommandId, Progress, Ready, Role, Voter, VoterId};
 use elmtide_peers::{Pace, Peer, Peers, Seems, Seen};
 use elmtide_work::conductor::Now;
 use elmtide_work::state::Step;
@@ -80,7 +80,7 @@
     /// Whether there is a lasting store: without one there is no vote, and no floor before the first answer.
     pub lasting: bool,
     pub voter: Option<VoterId>,
-    pub stored: Stored,
+    pub stored: StoredLog,
     pub floors: Floors,
 }
 
@@ -89,9 +89,9 @@
 pub enum Output {
     Send(FrontId, Vec<u8>),
     /// To be synced, then [`Member::synced`]. Nothing else of the log happens meanwhile.
-    Sync(Persist),
+    Sync(StorageUpdate),
     /// To be synced at leisure.
-    Compact(Persist),
+    Compact(StorageUpdate),
     /// This voter's number is to be kept before it is used: synced, then [`Member::synced`].
     Number(VoterId),
     /// The store is not the latest of this front: it is to be emptied, and the member begun anew.
@@ -168,12 +168,12 @@
 struct Sitting {
     voter: Voter<Agreed>,
     /// Work whose `persist` is being synced: until then the crate takes nothing in.
-    syncing: Option<Work>,
+    syncing: Option<Ready>,
     /// What came meanwhile.
-    queued: VecDeque<elmtide_agreed::Message>,
+    queued: VecDeque<elmtide_consensus::Message>,
     later: Vec<(FrontId, CommandId, Change)>,
     /// Beginning a new log, with its first voters; being synced.
-    beginning: Option<Persist>,
+    beginning: Option<StorageUpdate>,
     /// Ticks at which it may vote at the latest; none once it may.
     probation: Option<u64>,
     /// Who has answered that no later run was seen.
@@ -394,7 +394,7 @@
             return;
         }
         match std::mem::replace(&mut self.seat, Seat::None) {
-            Seat::Numbering(id) => match Sitting::new(id, Stored::default()) {
+            Seat::Numbering(id) => match Sitting::new(id, StoredLog::default()) {
                 Ok(mut sitting) => {
                     // A store that is new has no vote that could count twice.
                     sitting.probation = None;
@@ -404,15 +404,15 @@
             },
             Seat::Sitting(mut sitting) => {
                 if let Some(first) = sitting.beginning.take() {
-                    let mut stored = Stored::default();
-                    stored.take(&first);
+                    let mut stored = StoredLog::default();
+                    stored.apply(&first);
                     let id = sitting.voter.id();
                     match Sitting::new(id, stored) {
                         Ok(mut begun) => {
                             begun.probation = None;
                             let voters = begun.voter.voters().incoming;
                             if voters.iter().min() == Some(&id) {
-                                begun.voter.stand();
+                                begun.voter.campaign();
                             }
                             let event = Event::Begun { voters: voters.len() };
                             self.out.push_back(Output::Event(event));
@@ -421,7 +421,7 @@
                         Err(_) => self.seat = Seat::Lost,
                     }
                 } else if let Some(work) = sitting.syncing.take() {
-                    let done = sitting.voter.done(work);
+                    let done = sitting.voter.advance(work);
                     self.seat = Seat::Sitting(sitting);
                     self.after(done, now);
                     self.catch_up(now);
@@ -456,7 +456,7 @@
             if let Seat::Sitting(sitting) = &mut self.seat {
                 if let Some((_, granter)) = &mut sitting.granter {
                     if let Some(round) = granter.round() {
-                        sitting.voter.confirm(round);
+                        sitting.voter.read_index(round);
                     }
                 }
             }
@@ -482,7 +482,11 @@
     pub fn submit(&mut self, change: Change, now: Clocks) {
         self.tag = None;
         self.seq += 1;
-        let id = CommandId { asker: self.me.0, run: self.lessee.holder().incarnation.0, seq: self.seq };
+        let id = CommandId {
+            client: self.me.0,
+            incarnation: self.lessee.holder().incarnation.0,
+            sequence: self.seq,
+        };
         self.submitted = Some((id, change, self.ticks));
         self.send_submitted(now);
     }
@@ -509,7 +513,7 @@
         let id = next.and_then(|front| self.ids.get(&front)).map(|(id, _)| *id);
         if let (Seat::Sitting(sitting), Some(id)) = (&mut self.seat, id) {
             if sitting.syncing.is_none() {
-                sitting.voter.hand_over(id);
+                sitting.voter.transfer_leadership(id);
                 self.work(now);
             }
         }
@@ -767,7 +771,7 @@
                 _ => return,
             }
         }
-        let first = first_state::<Agreed>(&ids);
+        let first = initial_snapshot::<Agreed>(&ids);
         sitting.beginning = Some(first.clone());
         self.out.push_back(Output::Sync(first));
     }
@@ -780,15 +784,15 @@
             if sitting.syncing.is_some() || !sitting.takes_part() {
                 return;
             }
-            let Some(work) = sitting.voter.work() else { return };
-            let sends = work.now.clone();
-            if work.persist.is_empty() {
-                let done = sitting.voter.done(work);
+            let Some(work) = sitting.voter.ready() else { return };
+            let sends = work.messages.clone();
+            if work.update.is_empty() {
+                let done = sitting.voter.advance(work);
                 self.raft_out(sends);
                 self.after(done, now);
                 continue;
             }
-            let persist = work.persist.clone();
+            let persist = work.update.clone();
             sitting.syncing = Some(work);
             self.raft_out(sends);
             self.out.push_back(Output::Sync(persist));
@@ -796,7 +800,7 @@
         }
     }
 
-    fn raft_out(&mut self, messages: Vec<elmtide_agreed::Message>) {
+    fn raft_out(&mut self, messages: Vec<elmtide_consensus::Message>) {
         for message in messages {
             let to = self.ids.iter().find(|(_, (id, _))| *id == message.to).map(|(front, _)| *front);
             if let Some(to) = to {
@@ -805,10 +809,10 @@
         }
     }
 
-    fn after(&mut self, done: Done<Agreed>, now: Clocks) {
-        self.raft_out(done.send);
-        if !done.compact.is_empty() {
-            self.out.push_back(Output::Compact(done.compact));
+    fn after(&mut self, done: Progress<Agreed>, now: Clocks) {
+        self.raft_out(done.messages);
+        if !done.compaction.is_empty() {
+            self.out.push_back(Output::Compact(done.compaction));
         }
         let mut told = Vec::new();
         let mut answers = Vec::new();
@@ -832,9 +836,9 @@
                     granter.ended(command);
                 }
                 if let Some(id) = applied.id {
-                    let place = (id.asker, id.run, id.seq);
-                    if let (Some(to), Counts::Again(outcome)) =
-                        (sitting.waiting.remove(&place), sitting.voter.seen(id))
+                    let place = (id.client, id.incarnation, id.sequence);
+                    if let (Some(to), CommandStatus::Duplicate(outcome)) =
+                        (sitting.waiting.remove(&place), sitting.voter.command_status(id))
                     {
                         told.push((to, id, outcome));
                     }
@@ -843,7 +847,7 @@
             if let Some((_, granter)) = &mut sitting.granter {
                 let state = &sitting.voter.machine().budgets;
                 let wall = now.wall / 1000;
-                for round in done.confirmed {
+                for round in done.acknowledged_reads {
                     let with_view = granter.confirmed(state, round, now.steady).into_iter().map(|answer| {
                         let agreed = sitting.voter.machine();
                         let work = sitting.conductor.view(&agreed.work, answer.holder, wall);
@@ -989,7 +993,7 @@
             }
         }
         if let Some(round) = granter.round() {
-            voter.confirm(round);
+            voter.read_index(round);
         }
         let mut pokes = granter.pokes(&voter.machine().budgets);
         if voter.machine().work.version() > 0 {
@@ -1045,7 +1049,7 @@
                 granter.on_ask(&machine.budgets, ask, now.steady);
                 if sitting.syncing.is_none() {
                     if let Some(round) = granter.round() {
-                        sitting.voter.confirm(round);
+                        sitting.voter.read_index(round);
                     }
                 }
             }
@@ -1072,7 +1076,7 @@
             Change::Sites(_) => false,
             Change::Seat { .. } => false,
         };
-        if id.asker != from.0 || !asked {
+        if id.client != from.0 || !asked {
             return;
         }
         if !self.leads() {
@@ -1090,15 +1094,15 @@
                 }
                 return;
             }
-            match sitting.voter.seen(id) {
-                Counts::Again(outcome) => told = Some(outcome),
-                Counts::Past => {}
-                Counts::New if sitting.waiting.len() < WAITING => {
+            match sitting.voter.command_status(id) {
+                CommandStatus::Duplicate(outcome) => told = Some(outcome),
+                CommandStatus::Stale => {}
+                CommandStatus::New if sitting.waiting.len() < WAITING => {
                     if sitting.voter.propose(Some(id), &change).is_ok() {
-                        sitting.waiting.insert((id.asker, id.run, id.seq), from);
+                        sitting.waiting.insert((id.client, id.incarnation, id.sequence), from);
                     }
                 }
-                Counts::New => {}
+                CommandStatus::New => {}
             }
         }
         match told {
@@ -1275,11 +1279,11 @@
                     _ if s.probation.is_some() => "voter, asks whether its store is the latest",
                     _ if !s.begun() => "voter, waits to be taken in",
                     Role::Leader => "leader",
-                    Role::Elected => "leader, not confirmed yet",
+                    Role::UnconfirmedLeader => "leader, not confirmed yet",
                     Role::Candidate => "voter, seeks a leader",
                     Role::Follower => "voter",
                 };
-                (role.to_owned(), s.voter.term(), s.voter.log_len() as u64, s.voter.applied())
+                (role.to_owned(), s.voter.term(), s.voter.log_len() as u64, s.voter.applied_index())
             }
         };
         let mut shares = Vec::new();
@@ -1327,8 +1331,8 @@
 }
 
 impl Sitting {
-    fn new(id: VoterId, stored: Stored) -> Result<Box<Sitting>, String> {
-        let voter = Voter::new(VoterConfig { id }, stored)?;
+    fn new(id: VoterId, stored: StoredLog) -> Result<Box<Sitting>, String> {
+        let voter = Voter::restore(id, stored).map_err(|e| e.to_string())?;
         Ok(Box::new(Sitting {
             voter,
             syncing: None,
@@ -1352,7 +1356,7 @@
 
     /// It has taken part in a log, or been taken into one.
     fn begun(&self) -> bool {
-        self.voter.applied() > 0
+        self.voter.applied_index() > 0
     }
 }
 
--- a/core/fleet/src/word.rs
+++ b/core/fleet/src/word.rs
@@ -1,8 +1,8 @@
 //! What members say to each other.
 
-use elmtide_agreed::{CommandId, Message, VoterId};
 use elmtide_budgets::granter::{Answer, Ask};
 use elmtide_budgets::FrontId;
+use elmtide_consensus::{CommandId, Message, VoterId};
 use elmtide_work::{Said, View};
 use serde::{Deserialize, Serialize};
 
--- a/core/fleet/tests/golden.rs
+++ b/core/fleet/tests/golden.rs
@@ -1,10 +1,10 @@
 //! Encodings that members send each other, and of the state that they agree on.
 
-use elmtide_agreed::wire::{Message, Sort};
-use elmtide_agreed::{CommandId, Machine, VoterId};
 use elmtide_budgets::granter::{Answer, Ask};
 use elmtide_budgets::state::{FloorRule, Refused, Settled};
 use elmtide_budgets::{Command, Demand, FrontId, Holder, Incarnation, Key, Kind, Number};
+use elmtide_consensus::message::{Message, MessageKind};
+use elmtide_consensus::{CommandId, StateMachine, VoterId};
 use elmtide_fleet::frame::Frames;
 use elmtide_fleet::word::Hello;
 use elmtide_fleet::{Agreed, Change, Outcome, Word};
@@ -161,7 +161,7 @@
 
 fn raft_message() -> Message {
     Message {
-        sort: Sort::Heartbeat,
+        kind: MessageKind::Heartbeat,
         from: VoterId(11),
         to: VoterId(12),
         term: 2,
@@ -179,7 +179,7 @@
 }
 
 fn messages() -> Vec<(&'static str, Word)> {
-    let id = CommandId { asker: 1, run: 3, seq: 7 };
+    let id = CommandId { client: 1, incarnation: 3, sequence: 7 };
     let hello = Hello { voter: Some(VoterId(11)), begun: true, seen: 3, asks: false };
     vec![
         ("peers", Word::Peers(vec![1, 2, 3])),
--- a/front/src/fleet/config.rs
+++ b/front/src/fleet/config.rs
@@ -279,7 +279,7 @@
             return Err("two fronts have one name".into());
         }
         let voters = self.front.iter().filter(|f| f.votes).count();
-        if !elmtide_agreed::voter::sound(voters) {
+        if !elmtide_consensus::is_valid_cluster_size(voters) {
             return Err(format!("{voters} fronts vote: three or five do, or one to try it out"));
         }
         let mut floors = std::collections::BTreeMap::new();
--- a/model/src/world.rs
+++ b/model/src/world.rs
@@ -3,12 +3,12 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
-use elmtide_agreed::log::Persist;
-use elmtide_agreed::VoterId;
 use elmtide_budgets::lessee::Floors;
 use elmtide_budgets::purse::Whole;
 use elmtide_budgets::state::FloorRule;
 use elmtide_budgets::{Clocks, FrontId, Key, Kind, Micros, Parts, Purse, Terms, WHOLE};
+use elmtide_consensus::records::StorageUpdate;
+use elmtide_consensus::VoterId;
 use elmtide_fleet::member::Event as Said;
 use elmtide_fleet::{Change, Config, Front, Kept, Member, Outcome, Output, Settings};
 use elmtide_rules::spends::{self, Spends};
@@ -200,7 +200,7 @@
 }
 
 enum Pending {
-    Log(Box<Persist>),
+    Log(Box<StorageUpdate>),
     Number(VoterId),
     Floors(Floors),
 }
@@ -577,7 +577,7 @@
         match pending {
             Some(Pending::Log(persist)) => {
                 if kept {
-                    place.store.kept.stored.take(&persist);
+                    place.store.kept.stored.apply(&persist);
                 }
                 if let Some(member) = &mut place.member {
                     member.synced(kept, clocks);
@@ -637,7 +637,7 @@
                 Output::Sync(persist) => self.sync(node, run, Pending::Log(Box::new(persist))),
                 Output::Number(id) => self.sync(node, run, Pending::Number(id)),
                 Output::Floors(floors) => self.sync(node, run, Pending::Floors(floors)),
-                Output::Compact(persist) => self.nodes[node].store.kept.stored.take(&persist),
+                Output::Compact(persist) => self.nodes[node].store.kept.stored.apply(&persist),
                 Output::Stale => {
                     // The store is emptied, and the process begun anew under a later run.
                     let incarnation = self.nodes[node].store.kept.incarnation + 1000;
--- a/store/src/lib.rs
+++ b/store/src/lib.rs
@@ -16,9 +16,9 @@
 use std::fmt;
 use std::path::{Path, PathBuf};
 
-use elmtide_agreed::log::{KeptEntry, Persist, Stored, Vote};
-use elmtide_agreed::VoterId;
 use elmtide_budgets::lessee::Floors;
+use elmtide_consensus::records::{HardState, LogEntry, StorageUpdate, StoredLog};
+use elmtide_consensus::VoterId;
 use elmtide_fleet::Kept;
 use redb::{Database, DatabaseError, ReadableDatabase, ReadableTable, TableDefinition, WriteTransaction};
 use serde::de::DeserializeOwned;
@@ -145,8 +145,8 @@
         kept.incarnation = incarnation.ok_or(StoreError::Torn("it has no incarnation".into()))?;
         kept.voter = read_as("voter", get("voter")?)?;
         kept.floors = read_as("floors", get("floors")?)?.unwrap_or_default();
-        let mut stored = Stored {
-            vote: read_as::<Vote>("vote", get("vote")?)?.unwrap_or_default(),
+        let mut stored = StoredLog {
+            hard_state: read_as::<HardState>("vote", get("vote")?)?.unwrap_or_default(),
             snapshot: read_as("state", get("state")?)?.unwrap_or_default(),
             entries: Vec::new(),
         };
@@ -154,7 +154,7 @@
             Ok(log) => {
                 for row in log.iter().map_err(|e| StoreError::Torn(e.to_string()))? {
                     let (index, value) = row.map_err(|e| StoreError::Torn(e.to_string()))?;
-                    let entry: KeptEntry = decode("an entry", value.value())?;
+                    let entry: LogEntry = decode("an entry", value.value())?;
                     if entry.index != index.value() {
                         return Err(StoreError::Torn("an entry is in another's place".into()));
                     }
@@ -164,7 +164,7 @@
             Err(redb::TableError::TableDoesNotExist(_)) => {}
             Err(why) => return Err(StoreError::Torn(why.to_string())),
         }
-        if !stored.is_whole() {
+        if !stored.is_consistent() {
             return Err(StoreError::Torn("the log has a hole, or does not fit its state".into()));
         }
         kept.stored = stored;
@@ -182,7 +182,7 @@
     }
 
     /// The log's part, whole or not at all.
-    pub fn keep(&self, persist: &Persist) -> Result<(), StoreError> {
+    pub fn keep(&self, persist: &StorageUpdate) -> Result<(), StoreError> {
         self.write(|write| {
             let mut log = write.open_table(LOG).map_err(failed)?;
             if let Some(kept) = &persist.snapshot {
@@ -195,12 +195,12 @@
                     log.insert(entry.index, &encode(entry)?[..]).map_err(failed)?;
                 }
             }
-            if let Some(vote) = &persist.vote {
+            if let Some(vote) = &persist.hard_state {
                 put(write, "vote", vote)?;
             }
-            if let Some((kept, first)) = &persist.compact {
-                put(write, "state", kept)?;
-                log.retain_in(..*first, |_, _| false).map_err(failed)?;
+            if let Some(compaction) = &persist.compaction {
+                put(write, "state", &compaction.snapshot)?;
+                log.retain_in(..compaction.first_index, |_, _| false).map_err(failed)?;
             }
             Ok(())
         })
--- a/store/tests/golden.rs
+++ b/store/tests/golden.rs
@@ -3,10 +3,10 @@
 use std::fs;
 use std::path::PathBuf;
 
-use elmtide_agreed::log::{Kept as State, KeptEntry, Persist, Vote, Voters};
-use elmtide_agreed::VoterId;
 use elmtide_budgets::lessee::Floors;
 use elmtide_budgets::{Kind, Number};
+use elmtide_consensus::records::{HardState, LogEntry, Snapshot as State, StorageUpdate, VoterSet};
+use elmtide_consensus::VoterId;
 use elmtide_golden::GoldenFile;
 use elmtide_store::Store;
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
@@ -35,18 +35,19 @@
 }
 
 fn snapshot() -> State {
-    let voters = Voters { incoming: vec![VoterId(77), VoterId(78)], outgoing: Vec::new(), auto_leave: false };
+    let voters =
+        VoterSet { incoming: vec![VoterId(77), VoterId(78)], outgoing: Vec::new(), auto_leave: false };
     State { index: 4, term: 2, voters, data: vec![5; 30] }
 }
 
-fn entries() -> Vec<KeptEntry> {
-    let entry = |index| KeptEntry { term: 3, index, data: vec![index as u8; 10], change: None };
-    let change = KeptEntry { term: 3, index: 8, data: Vec::new(), change: Some(vec![1, 2]) };
+fn entries() -> Vec<LogEntry> {
+    let entry = |index| LogEntry { term: 3, index, data: vec![index as u8; 10], voter_change: None };
+    let change = LogEntry { term: 3, index: 8, data: Vec::new(), voter_change: Some(vec![1, 2]) };
     (5..8).map(entry).chain([change]).collect()
 }
 
-fn vote() -> Vote {
-    Vote { term: 3, vote: 77, commit: 6 }
+fn vote() -> HardState {
+    HardState { term: 3, vote: 77, commit: 6 }
 }
 
 fn floors() -> Floors {
@@ -55,8 +56,12 @@
 
 fn write_all(store: &Store) {
     store.keep_number(VoterId(77)).unwrap();
-    let persist =
-        Persist { snapshot: Some(snapshot()), entries: entries(), vote: Some(vote()), compact: None };
+    let persist = StorageUpdate {
+        snapshot: Some(snapshot()),
+        entries: entries(),
+        hard_state: Some(vote()),
+        compaction: None,
+    };
     store.keep(&persist).unwrap();
     store.keep_floors(&floors()).unwrap();
 }
@@ -98,7 +103,7 @@
     let (store, kept) = Store::open(&old.0, INSTALLATION).unwrap();
     assert_eq!((kept.incarnation, kept.voter, kept.lasting), (2, Some(VoterId(77)), true));
     assert_eq!(kept.floors, floors());
-    assert_eq!((kept.stored.vote, &kept.stored.snapshot), (vote(), &snapshot()));
+    assert_eq!((kept.stored.hard_state, &kept.stored.snapshot), (vote(), &snapshot()));
     assert_eq!(kept.stored.entries, entries());
     drop(store);
 
@@ -106,11 +111,11 @@
     let (store, _) = Store::open(&copy.0, INSTALLATION).unwrap();
     store.keep_number(kept.voter.unwrap()).unwrap();
     let stored = kept.stored;
-    let persist = Persist {
+    let persist = StorageUpdate {
         snapshot: Some(stored.snapshot),
         entries: stored.entries,
-        vote: Some(stored.vote),
-        compact: None,
+        hard_state: Some(stored.hard_state),
+        compaction: None,
     };
     store.keep(&persist).unwrap();
     store.keep_floors(&kept.floors).unwrap();
--- a/store/tests/store.rs
+++ b/store/tests/store.rs
@@ -4,10 +4,10 @@
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicU32, Ordering::Relaxed};
 
-use elmtide_agreed::log::{Kept as State, KeptEntry, Persist, Vote};
-use elmtide_agreed::VoterId;
 use elmtide_budgets::lessee::Floors;
 use elmtide_budgets::{Kind, Number};
+use elmtide_consensus::records::{Compaction, HardState, LogEntry, Snapshot as State, StorageUpdate};
+use elmtide_consensus::VoterId;
 use elmtide_store::{Store, StoreError};
 
 struct File(PathBuf);
@@ -26,16 +26,25 @@
     }
 }
 
-fn entries(from: u64, to: u64, term: u64) -> Vec<KeptEntry> {
-    (from..=to).map(|index| KeptEntry { term, index, data: vec![index as u8; 20], change: None }).collect()
+fn entries(from: u64, to: u64, term: u64) -> Vec<LogEntry> {
+    (from..=to)
+        .map(|index| LogEntry { term, index, data: vec![index as u8; 20], voter_change: None })
+        .collect()
 }
 
 fn begun(file: &File) -> Store {
     let (store, _) = Store::open(&file.0, "duna").unwrap();
     store.keep_number(VoterId(77)).unwrap();
     let state = State { index: 1, term: 1, ..State::default() };
-    let vote = Some(Vote { term: 3, vote: 77, commit: 1 });
-    store.keep(&Persist { snapshot: Some(state), entries: entries(2, 9, 3), vote, compact: None }).unwrap();
+    let vote = Some(HardState { term: 3, vote: 77, commit: 1 });
+    store
+        .keep(&StorageUpdate {
+            snapshot: Some(state),
+            entries: entries(2, 9, 3),
+            hard_state: vote,
+            compaction: None,
+        })
+        .unwrap();
     store
 }
 
@@ -45,10 +54,10 @@
     drop(begun(&file));
     let (store, kept) = Store::open(&file.0, "duna").unwrap();
     assert_eq!((kept.incarnation, kept.voter), (2, Some(VoterId(77))));
-    assert_eq!(kept.stored.vote, Vote { term: 3, vote: 77, commit: 1 });
+    assert_eq!(kept.stored.hard_state, HardState { term: 3, vote: 77, commit: 1 });
     assert_eq!(kept.stored.entries.len(), 8);
     // A later leader's entries take the place of those from an index on.
-    store.keep(&Persist { entries: entries(5, 6, 4), ..Persist::default() }).unwrap();
+    store.keep(&StorageUpdate { entries: entries(5, 6, 4), ..StorageUpdate::default() }).unwrap();
     let floors = Floors { number: Number(9), parts: vec![(Kind::Retries, 1000)] };
     store.keep_floors(&floors).unwrap();
     drop(store);
@@ -57,7 +66,12 @@
     assert_eq!(terms, [(2, 3), (3, 3), (4, 3), (5, 4), (6, 4)]);
     assert_eq!(kept.floors, floors);
     let state = State { index: 5, term: 4, ..State::default() };
-    store.keep(&Persist { compact: Some((state, 4)), ..Persist::default() }).unwrap();
+    store
+        .keep(&StorageUpdate {
+            compaction: Some(Compaction { snapshot: state, first_index: 4 }),
+            ..StorageUpdate::default()
+        })
+        .unwrap();
     drop(store);
     let (store, kept) = Store::open(&file.0, "duna").unwrap();
     assert_eq!(kept.stored.entries.iter().map(|e| e.index).collect::<Vec<_>>(), [4, 5, 6]);
@@ -105,7 +119,7 @@
             match opened {
                 Ok(Ok(kept)) => {
                     assert_eq!((kept.voter, kept.stored.entries.len()), (Some(VoterId(77)), 8), "at {place}");
-                    assert_eq!(kept.stored.vote.term, 3, "at {place}");
+                    assert_eq!(kept.stored.hard_state.term, 3, "at {place}");
                     same += 1;
                 }
                 Ok(Err(_)) => refused += 1,
