--- a/core/fleet/src/member.rs
+++ b/core/fleet/src/member.rs
@@ -12,7 +12,7 @@
 use elmtide_consensus::sessions::CommandStatus;
 use elmtide_consensus::voter::initial_snapshot;
 use elmtide_consensus::{CommandId, Progress, Ready, Role, Voter, VoterId};
-use elmtide_peers::{Pace, Peer, Peers, Seems, Seen};
+use elmtide_peers::{FailureDetector, Liveness, MemberStatus, PeerIdentity, ProbeSettings};
 use elmtide_work::conductor::Now;
 use elmtide_work::state::Step;
 use elmtide_work::view::Told;
@@ -195,7 +195,7 @@
     me: FrontId,
     settings: Settings,
     frames: Frames,
-    peers: Peers,
+    peers: FailureDetector,
     seat: Seat,
     lessee: Lessee,
     wants: Vec<(Key, Demand)>,
@@ -245,7 +245,7 @@
     pub contact: bool,
     pub list: u64,
     pub file: u64,
-    pub fronts: Vec<(FrontId, Seems, u64, u16)>,
+    pub fronts: Vec<(FrontId, Liveness, u64, u16)>,
     pub dropped: Vec<(String, u64)>,
     pub log: u64,
     pub applied: u64,
@@ -261,10 +261,10 @@
         let own = own.ok_or("this front is not in the fleet's file")?;
         let ids = || settings.fronts.iter().map(|f| f.id);
         let frames = Frames::new(&key, &installation, me, kept.incarnation, ids());
-        let peer = Peer { front: me.0, incarnation: kept.incarnation, again: 0, site: own.site };
-        let pace = Pace { period: settings.tick * 20, fronts: settings.fronts.len() };
+        let peer = PeerIdentity { front: me.0, incarnation: kept.incarnation, renewal: 0, site: own.site };
+        let pace = ProbeSettings { period: settings.tick * 20, fronts: settings.fronts.len() };
         let listed: Vec<u64> = ids().map(|f| f.0).collect();
-        let peers = Peers::new(peer, pace, &listed, seed, now.steady);
+        let peers = FailureDetector::new(peer, pace, &listed, seed, now.steady);
         let holder = Holder { front: me, incarnation: Incarnation(kept.incarnation) };
         let floors = if kept.lasting { kept.floors.clone() } else { Floors::default() };
         let lessee = Lessee::new(holder, settings.terms, seed | 1, floors.number);
@@ -327,7 +327,7 @@
 
     /// When [`Member::pass`] is to be called next.
     pub fn due(&self) -> Micros {
-        self.tick_at.min(self.peers.due()).min(self.next_ask)
+        self.tick_at.min(self.peers.next_deadline()).min(self.next_ask)
     }
 
     /// What the front wants, from now on.
@@ -503,10 +503,11 @@
     /// Hands the leadership to another voter, if it is here.
     pub fn hand_over(&mut self, now: Clocks) {
         let next = {
-            let view = self.peers.view();
+            let view = self.peers.members();
             let voters = self.settings.fronts.iter().filter(|f| f.votes && f.id != self.me);
             let alive = |f: &&Front| {
-                view.get(&f.id.0).is_some_and(|s| s.seems == Seems::Alive) && self.ids.contains_key(&f.id)
+                view.get(&f.id.0).is_some_and(|s| s.liveness == Liveness::Alive)
+                    && self.ids.contains_key(&f.id)
             };
             voters.filter(alive).map(|f| f.id).next()
         };
@@ -572,7 +573,7 @@
 
     /// Lets time pass.
     pub fn pass(&mut self, now: Clocks) {
-        self.peers.pass(now.steady);
+        self.peers.advance_time(now.steady);
         self.peers_out();
         let mut turns = 0;
         while now.steady >= self.tick_at && turns < 3 {
@@ -686,8 +687,8 @@
     }
 
     fn peers_out(&mut self) {
-        for (front, bytes) in self.peers.sends() {
-            self.say(FrontId(front), &Word::Peers(bytes));
+        for datagram in self.peers.take_datagrams() {
+            self.say(FrontId(datagram.to), &Word::Peers(datagram.bytes));
         }
     }
 
@@ -1264,8 +1265,8 @@
     }
 
     /// Who is there, as a hint.
-    pub fn view(&self) -> BTreeMap<FrontId, Seen> {
-        self.peers.view().into_iter().map(|(front, seen)| (FrontId(front), seen)).collect()
+    pub fn view(&self) -> BTreeMap<FrontId, MemberStatus> {
+        self.peers.members().into_iter().map(|(front, seen)| (FrontId(front), seen)).collect()
     }
 
     pub fn status(&self, now: Clocks) -> Status {
@@ -1308,7 +1309,7 @@
             contact: self.contact,
             list: self.list,
             file: self.settings.version,
-            fronts: view.into_iter().map(|(f, s)| (f, s.seems, s.incarnation, s.site)).collect(),
+            fronts: view.into_iter().map(|(f, s)| (f, s.liveness, s.incarnation, s.site)).collect(),
             dropped: self.frames.dropped.iter().map(|(why, n)| (format!("{why:?}"), *n)).collect(),
             log,
             applied,
--- a/core/peers/src/lib.rs
+++ b/core/peers/src/lib.rs
@@ -1,213 +1,191 @@
-//! Which fronts are there, by the `foca` crate (SWIM): alive, suspected, gone.
+//! Failure detector: which fronts are alive, suspect or dead, by the `foca` crate (SWIM).
 //!
-//! **Invariant: what one front sends for this never exceeds [`Pace::ceiling`] datagrams a period, however many fronts there are.**
-//! What is said here is a hint: a stalled front is 'gone' and comes back. Nothing is granted, lapsed or taken over by
-//! it; it only says whom to ask first and what to show. When nobody agrees or answers, everyone is 'gone', and nothing else
-//! changes.
+//! **Invariant: one front sends at most [`ProbeSettings::max_datagrams_per_period`] datagrams a period, however many fronts there
+//! are.** What is reported is a hint: a stalled front is 'dead' and comes back. No lease is granted, expired or taken over by it;
+//! it only says whom to ask first and what to show. If nobody answers, everyone is 'dead', and nothing else changes.
+
+#![warn(clippy::needless_pass_by_value, clippy::too_many_lines, clippy::fn_params_excessive_bools)]
+
+mod identity;
+mod settings;
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
-use std::num::{NonZeroU8, NonZeroUsize};
 use std::time::Duration;
 
-use foca::{Config, Foca, Identity, Notification, PostcardCodec, Runtime, State, Timer};
+use foca::{Foca, Member, NoCustomBroadcast, Notification, PostcardCodec, Runtime, State, Timer};
 use rand_chacha::rand_core::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use serde::{Deserialize, Serialize};
 
+pub use identity::PeerIdentity;
+pub use settings::{ProbeSettings, MAX_DATAGRAM_BYTES};
+
 /// Microseconds of a clock that does not go back.
 pub type Micros = u64;
 
-/// Longest datagram, in bytes.
-pub const DATAGRAM: usize = 1200;
-
-/// One run of a front.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Peer {
-    pub front: u64,
-    pub incarnation: u64,
-    /// Raised by a run that others took for gone.
-    pub again: u32,
-    /// Where it stands: a number from the file.
-    pub site: u16,
-}
-
-impl Identity for Peer {
-    type Addr = u64;
+/// Periods between two announcements to listed fronts once all of them are known; one each period until then.
+const ANNOUNCE_INTERVAL_PERIODS: u64 = 20;
 
-    fn renew(&self) -> Option<Peer> {
-        Some(Peer { again: self.again.wrapping_add(1), ..*self })
-    }
-
-    fn addr(&self) -> u64 {
-        self.front
-    }
-
-    fn win_addr_conflict(&self, other: &Peer) -> bool {
-        (self.incarnation, self.again) > (other.incarnation, other.again)
-    }
-}
-
-/// How fast fronts look after each other.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Pace {
-    /// One front is asked each period.
-    pub period: Micros,
-    /// Fronts in the list.
-    pub fronts: usize,
+/// How a front seems to be.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub enum Liveness {
+    /// It answers.
+    Alive,
+    /// It did not answer the last probe.
+    #[serde(rename = "Suspected")]
+    Suspect,
+    /// It has not answered for long, or has left.
+    #[serde(rename = "Gone")]
+    Dead,
 }
 
-impl Pace {
-    /// Fronts that are asked to ask for one that was silent.
-    const INDIRECT: usize = 2;
-
-    /// Datagrams that one front sends in a period at most when all goes well for it: its own question, what it is asked
-    /// itself (one on average, several by chance), questions for others, gossip, announcements.
-    pub fn ceiling(&self) -> usize {
-        16 + 2 * Self::INDIRECT
-    }
-
-    fn config(&self) -> Config {
-        let period = Duration::from_micros(self.period);
-        let mut config = Config::new_lan(
-            std::num::NonZeroU32::new(self.fronts.max(2) as u32).unwrap_or(std::num::NonZeroU32::MIN),
-        );
-        config.probe_period = period;
-        config.probe_rtt = period / 3;
-        config.num_indirect_probes = NonZeroUsize::new(Self::INDIRECT).unwrap_or(NonZeroUsize::MIN);
-        config.max_transmissions = NonZeroU8::new(10).unwrap_or(NonZeroU8::MIN);
-        config.suspect_to_down_after = period * 3;
-        config.remove_down_after = Some(period * 600);
-        config.max_packet_size = NonZeroUsize::new(DATAGRAM).unwrap_or(NonZeroUsize::MIN);
-        config.notify_down_members = true;
-        let params = |every: u32, members: usize| foca::PeriodicParams {
-            frequency: period * every,
-            num_members: NonZeroUsize::new(members).unwrap_or(NonZeroUsize::MIN),
-        };
-        config.periodic_announce = Some(params(20, 1));
-        config.periodic_announce_to_down_members = Some(params(10, 1));
-        config.periodic_gossip = Some(params(1, 2));
-        config
+impl Liveness {
+    /// Its name in status output.
+    pub fn name(self) -> &'static str {
+        match self {
+            Liveness::Alive => "Alive",
+            Liveness::Suspect => "Suspected",
+            Liveness::Dead => "Gone",
+        }
     }
 }
 
-/// How a front seems.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Seems {
-    Alive,
-    Suspected,
-    Gone,
-}
-
+/// What is known of a front.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Seen {
-    pub seems: Seems,
+pub struct MemberStatus {
+    /// How it seems to be.
+    pub liveness: Liveness,
+    /// The latest incarnation that was seen.
     pub incarnation: u64,
+    /// Where it is.
     pub site: u16,
 }
 
-/// What the crate wants done, gathered.
+/// A datagram for another front.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct OutgoingDatagram {
+    /// The front that it is for.
+    pub to: u64,
+    /// At most [`MAX_DATAGRAM_BYTES`].
+    pub bytes: Vec<u8>,
+}
+
+/// What the `foca` crate wants done, collected.
 #[derive(Default)]
-struct Wanted {
-    sends: Vec<(u64, Vec<u8>)>,
-    timers: Vec<(Timer<Peer>, Duration)>,
+struct PendingActions {
+    datagrams: Vec<OutgoingDatagram>,
+    timers: Vec<(Timer<PeerIdentity>, Duration)>,
 }
 
-impl Runtime<Peer> for &mut Wanted {
-    fn notify(&mut self, _: Notification<'_, Peer>) {}
+impl Runtime<PeerIdentity> for &mut PendingActions {
+    fn notify(&mut self, _: Notification<'_, PeerIdentity>) {}
 
-    fn send_to(&mut self, to: Peer, data: &[u8]) {
-        self.sends.push((to.front, data.to_vec()));
+    fn send_to(&mut self, to: PeerIdentity, data: &[u8]) {
+        self.datagrams.push(OutgoingDatagram { to: to.front, bytes: data.to_vec() });
     }
 
-    fn submit_after(&mut self, event: Timer<Peer>, after: Duration) {
+    fn submit_after(&mut self, event: Timer<PeerIdentity>, after: Duration) {
         self.timers.push((event, after));
     }
 }
 
-type Due = (Micros, u64);
-
-pub struct Peers {
-    foca: Foca<Peer, PostcardCodec, ChaCha8Rng, foca::NoCustomBroadcast>,
-    timers: BinaryHeap<Reverse<Due>>,
-    waiting: BTreeMap<u64, Timer<Peer>>,
-    next: u64,
-    wanted: Wanted,
-    sends: Vec<(u64, Vec<u8>)>,
-    /// Fronts of the list, asked for in turns while nobody is known.
+type TimerId = u64;
+
+/// The failure detector of one incarnation of a front. It does no I/O: datagrams and the clock are inputs.
+pub struct FailureDetector {
+    foca: Foca<PeerIdentity, PostcardCodec, ChaCha8Rng, NoCustomBroadcast>,
+    timer_queue: BinaryHeap<Reverse<(Micros, TimerId)>>,
+    timers: BTreeMap<TimerId, Timer<PeerIdentity>>,
+    next_timer: TimerId,
+    pending: PendingActions,
+    outgoing: Vec<OutgoingDatagram>,
+    /// The other fronts of the configuration, announced to in turns.
     listed: Vec<u64>,
-    turn: usize,
+    next_listed: usize,
     announce_at: Micros,
-    pace: Pace,
-    me: Peer,
+    settings: ProbeSettings,
+    own: PeerIdentity,
 }
 
-impl Peers {
-    pub fn new(me: Peer, pace: Pace, listed: &[u64], seed: u64, now: Micros) -> Peers {
-        let foca = Foca::new(me, pace.config(), ChaCha8Rng::seed_from_u64(seed), PostcardCodec);
-        let listed: Vec<u64> = listed.iter().copied().filter(|f| *f != me.front).collect();
-        let turn = if listed.is_empty() { 0 } else { (seed % listed.len() as u64) as usize };
-        Peers {
+impl FailureDetector {
+    /// `listed` are all fronts of the configuration; the same seed gives the same run.
+    pub fn new(
+        own: PeerIdentity,
+        settings: ProbeSettings,
+        listed: &[u64],
+        seed: u64,
+        now: Micros,
+    ) -> FailureDetector {
+        let foca = Foca::new(own, settings.foca_config(), ChaCha8Rng::seed_from_u64(seed), PostcardCodec);
+        let listed: Vec<u64> = listed.iter().copied().filter(|front| *front != own.front).collect();
+        let next_listed = if listed.is_empty() { 0 } else { (seed % listed.len() as u64) as usize };
+        FailureDetector {
             foca,
-            timers: BinaryHeap::new(),
-            waiting: BTreeMap::new(),
-            next: 0,
-            wanted: Wanted::default(),
-            sends: Vec::new(),
+            timer_queue: BinaryHeap::new(),
+            timers: BTreeMap::new(),
+            next_timer: 0,
+            pending: PendingActions::default(),
+            outgoing: Vec::new(),
             listed,
-            turn,
+            next_listed,
             announce_at: now,
-            pace,
-            me,
+            settings,
+            own,
         }
     }
 
-    fn gathered(&mut self, now: Micros) {
-        let Wanted { sends, timers } = std::mem::take(&mut self.wanted);
-        self.sends.extend(sends);
+    fn collect_pending(&mut self, now: Micros) {
+        let PendingActions { datagrams, timers } = std::mem::take(&mut self.pending);
+        self.outgoing.extend(datagrams);
         for (timer, after) in timers {
-            self.timers.push(Reverse((now + after.as_micros() as Micros, self.next)));
-            self.waiting.insert(self.next, timer);
-            self.next += 1;
+            let due = now + after.as_micros() as Micros;
+            self.timer_queue.push(Reverse((due, self.next_timer)));
+            self.timers.insert(self.next_timer, timer);
+            self.next_timer += 1;
         }
     }
 
-    /// A datagram of another front, whose sender has been checked.
+    /// Takes a datagram of another front, whose sender has been authenticated.
     pub fn on_datagram(&mut self, bytes: &[u8], now: Micros) {
-        if bytes.len() <= DATAGRAM {
-            let _ = self.foca.handle_data(bytes, &mut self.wanted);
-            self.gathered(now);
+        if bytes.len() <= MAX_DATAGRAM_BYTES {
+            let _ = self.foca.handle_data(bytes, &mut self.pending);
+            self.collect_pending(now);
         }
     }
 
-    /// Does what is due.
-    pub fn pass(&mut self, now: Micros) {
-        while let Some(Reverse((at, id))) = self.timers.peek().copied() {
-            if at > now {
+    /// Fires the timers that are due.
+    pub fn advance_time(&mut self, now: Micros) {
+        while let Some(Reverse((due, id))) = self.timer_queue.peek().copied() {
+            if due > now {
                 break;
             }
-            self.timers.pop();
-            if let Some(timer) = self.waiting.remove(&id) {
-                let _ = self.foca.handle_timer(timer, &mut self.wanted);
-                self.gathered(now);
+            self.timer_queue.pop();
+            if let Some(timer) = self.timers.remove(&id) {
+                let _ = self.foca.handle_timer(timer, &mut self.pending);
+                self.collect_pending(now);
             }
         }
-        // Two that found each other may not have found the others: the list is gone through in turns, slower once all
-        // are known.
         if now >= self.announce_at && !self.listed.is_empty() {
-            let front = self.listed[self.turn % self.listed.len()];
-            self.turn += 1;
-            let known = self.foca.num_members() + 1 >= self.listed.len();
-            self.announce_at = now + self.pace.period * if known { 20 } else { 1 };
-            let unknown = Peer { front, incarnation: 0, again: 0, site: 0 };
-            let _ = self.foca.announce(unknown, &mut self.wanted);
-            self.gathered(now);
+            self.announce_to_next(now);
         }
     }
 
-    /// When [`Peers::pass`] has to be called next.
-    pub fn due(&self) -> Micros {
-        let timer = self.timers.peek().map_or(Micros::MAX, |Reverse((at, _))| *at);
+    /// Announces this front to the next one of the list. Two that found each other may not have found the others, so this goes
+    /// on, more slowly once all are known.
+    fn announce_to_next(&mut self, now: Micros) {
+        let front = self.listed[self.next_listed % self.listed.len()];
+        self.next_listed += 1;
+        let all_known = self.foca.num_members() + 1 >= self.listed.len();
+        let interval = if all_known { ANNOUNCE_INTERVAL_PERIODS } else { 1 };
+        self.announce_at = now + self.settings.period * interval;
+        let _ = self.foca.announce(PeerIdentity::unknown(front), &mut self.pending);
+        self.collect_pending(now);
+    }
+
+    /// When [`FailureDetector::advance_time`] has to be called next.
+    pub fn next_deadline(&self) -> Micros {
+        let timer = self.timer_queue.peek().map_or(Micros::MAX, |Reverse((due, _))| *due);
         if self.listed.is_empty() {
             timer
         } else {
@@ -215,30 +193,33 @@
         }
     }
 
-    /// Datagrams to send, by front.
-    pub fn sends(&mut self) -> Vec<(u64, Vec<u8>)> {
-        std::mem::take(&mut self.sends)
+    /// Takes the datagrams that are to be sent.
+    pub fn take_datagrams(&mut self) -> Vec<OutgoingDatagram> {
+        std::mem::take(&mut self.outgoing)
     }
 
-    /// This front leaves in order: others need not miss it first.
+    /// Announces that this front leaves, so that the others need not miss it first.
     pub fn leave(&mut self, now: Micros) {
-        let _ = self.foca.leave_cluster(&mut self.wanted);
-        self.gathered(now);
+        let _ = self.foca.leave_cluster(&mut self.pending);
+        self.collect_pending(now);
     }
 
-    /// Everyone who has been seen, and this front itself.
-    pub fn view(&self) -> BTreeMap<u64, Seen> {
-        let seen = |m: &foca::Member<Peer>| {
-            let seems = match m.state() {
-                State::Alive => Seems::Alive,
-                State::Suspect => Seems::Suspected,
-                State::Down => Seems::Gone,
-            };
-            (m.id().front, Seen { seems, incarnation: m.id().incarnation, site: m.id().site })
-        };
-        let mut view: BTreeMap<u64, Seen> = self.foca.iter_membership_state().map(seen).collect();
-        let me = Seen { seems: Seems::Alive, incarnation: self.me.incarnation, site: self.me.site };
-        view.insert(self.me.front, me);
-        view
+    /// Every front that has been seen, and this one itself.
+    pub fn members(&self) -> BTreeMap<u64, MemberStatus> {
+        let mut members: BTreeMap<u64, MemberStatus> =
+            self.foca.iter_membership_state().map(|member| (member.id().front, status_of(member))).collect();
+        let PeerIdentity { incarnation, site, .. } = self.own;
+        let own = MemberStatus { liveness: Liveness::Alive, incarnation, site };
+        members.insert(self.own.front, own);
+        members
     }
 }
+
+fn status_of(member: &Member<PeerIdentity>) -> MemberStatus {
+    let liveness = match member.state() {
+        State::Alive => Liveness::Alive,
+        State::Suspect => Liveness::Suspect,
+        State::Down => Liveness::Dead,
+    };
+    MemberStatus { liveness, incarnation: member.id().incarnation, site: member.id().site }
+}
--- a/core/peers/tests/peers.rs
+++ b/core/peers/tests/failure_detector.rs
@@ -2,12 +2,14 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use elmtide_peers::{Micros, Pace, Peer, Peers, Seems, DATAGRAM};
+use elmtide_peers::{
+    FailureDetector, Liveness, Micros, OutgoingDatagram, PeerIdentity, ProbeSettings, MAX_DATAGRAM_BYTES,
+};
 
 const PERIOD: Micros = 100_000;
 
 struct World {
-    peers: BTreeMap<u64, Peers>,
+    peers: BTreeMap<u64, FailureDetector>,
     network: VecDeque<(u64, Vec<u8>)>,
     now: Micros,
     sent: BTreeMap<u64, usize>,
@@ -17,9 +19,12 @@
 impl World {
     fn new(count: u64, seed: u64) -> World {
         let listed: Vec<u64> = (1..=count).collect();
-        let pace = Pace { period: PERIOD, fronts: count as usize };
-        let peer = |front| Peer { front, incarnation: 1, again: 0, site: (front % 3) as u16 };
-        let peers = listed.iter().map(|f| (*f, Peers::new(peer(*f), pace, &listed, seed ^ f, 0))).collect();
+        let settings = ProbeSettings { period: PERIOD, fronts: count as usize };
+        let peer = |front| PeerIdentity { front, incarnation: 1, renewal: 0, site: (front % 3) as u16 };
+        let peers = listed
+            .iter()
+            .map(|f| (*f, FailureDetector::new(peer(*f), settings, &listed, seed ^ f, 0)))
+            .collect();
         World { peers, network: VecDeque::new(), now: 0, sent: BTreeMap::new(), longest: 0 }
     }
 
@@ -35,8 +40,8 @@
                 }
             }
             for (front, peer) in &mut self.peers {
-                peer.pass(self.now);
-                for (to, bytes) in peer.sends() {
+                peer.advance_time(self.now);
+                for OutgoingDatagram { to, bytes } in peer.take_datagrams() {
                     *self.sent.entry(*front).or_default() += 1;
                     self.longest = self.longest.max(bytes.len());
                     self.network.push_back((to, bytes));
@@ -45,11 +50,11 @@
         }
     }
 
-    fn all_see(&self, front: u64, seems: Seems) -> bool {
+    fn all_see(&self, front: u64, liveness: Liveness) -> bool {
         self.peers
             .iter()
             .filter(|(f, _)| **f != front)
-            .all(|(_, p)| p.view().get(&front).map(|s| s.seems) == Some(seems))
+            .all(|(_, p)| p.members().get(&front).map(|s| s.liveness) == Some(liveness))
     }
 }
 
@@ -57,14 +62,14 @@
 fn fronts_find_each_other_miss_one_that_falls_silent_and_see_it_come_back() {
     let mut world = World::new(5, 7);
     world.run(20);
-    assert!((1..=5).all(|f| world.all_see(f, Seems::Alive)));
+    assert!((1..=5).all(|f| world.all_see(f, Liveness::Alive)));
     let silent = world.peers.remove(&3).unwrap();
     world.run(40);
-    assert!(world.all_see(3, Seems::Gone));
+    assert!(world.all_see(3, Liveness::Dead));
     // It was only stopped: it goes on with what it knew, and is alive again, however gone it seemed.
     world.peers.insert(3, silent);
     world.run(120);
-    assert!(world.all_see(3, Seems::Alive));
+    assert!(world.all_see(3, Liveness::Alive));
 }
 
 #[test]
@@ -72,12 +77,12 @@
     let mut world = World::new(4, 3);
     world.run(20);
     let listed: Vec<u64> = (1..=4).collect();
-    let pace = Pace { period: PERIOD, fronts: 4 };
-    let again = Peer { front: 2, incarnation: 9, again: 0, site: 0 };
-    world.peers.insert(2, Peers::new(again, pace, &listed, 1, world.now));
+    let settings = ProbeSettings { period: PERIOD, fronts: 4 };
+    let again = PeerIdentity { front: 2, incarnation: 9, renewal: 0, site: 0 };
+    world.peers.insert(2, FailureDetector::new(again, settings, &listed, 1, world.now));
     world.run(60);
     for (front, peer) in world.peers.iter().filter(|(f, _)| **f != 2) {
-        assert_eq!(peer.view()[&2].incarnation, 9, "as {front} sees it");
+        assert_eq!(peer.members()[&2].incarnation, 9, "as {front} sees it");
     }
 }
 
@@ -91,16 +96,19 @@
         let periods = 40;
         world.run(periods);
         let most = *world.sent.values().max().unwrap();
-        let pace = Pace { period: PERIOD, fronts: count as usize };
+        let settings = ProbeSettings { period: PERIOD, fronts: count as usize };
         let mean = world.sent.values().sum::<usize>() as f64 / (count * periods) as f64;
         println!(
             "{count} fronts: {mean:.1} datagrams a period and front, most {:.1}, longest {} bytes",
             most as f64 / periods as f64,
             world.longest
         );
-        assert!(most <= pace.ceiling() * periods as usize, "{most} in {periods} periods at {count}");
-        assert!(world.longest <= DATAGRAM);
-        let seen = world.peers.values().map(|p| p.view().len()).min().unwrap();
+        assert!(
+            most <= settings.max_datagrams_per_period() * periods as usize,
+            "{most} in {periods} periods at {count}"
+        );
+        assert!(world.longest <= MAX_DATAGRAM_BYTES);
+        let seen = world.peers.values().map(|p| p.members().len()).min().unwrap();
         assert!(seen as u64 >= count * 9 / 10, "{seen} of {count} known");
     }
 }
@@ -130,5 +138,5 @@
             .collect();
         peer.on_datagram(&bytes, world.now);
     }
-    let _ = peer.sends();
+    let _ = peer.take_datagrams();
 }
--- a/front/src/fleet/look.rs
+++ b/front/src/fleet/look.rs
@@ -12,7 +12,7 @@
 use arc_swap::ArcSwapOption;
 use elmtide_budgets::{Clocks, FrontId, WHOLE};
 use elmtide_fleet::Status;
-use elmtide_peers::Seems;
+use elmtide_peers::Liveness;
 use serde::{Deserialize, Serialize};
 
 use crate::engine::spending::Report;
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ShownFront {
     pub name: String,
-    pub seems: Seems,
+    pub seems: Liveness,
     pub incarnation: u64,
 }
 
@@ -264,7 +264,7 @@
     }
     println!("\n{:<12} {:<10} {:>8}", "front", "seems", "run");
     for front in &shown.fronts {
-        println!("{:<12} {:<10} {:>8}", front.name, format!("{:?}", front.seems), front.incarnation);
+        println!("{:<12} {:<10} {:>8}", front.name, front.seems.name(), front.incarnation);
     }
     if !shown.sites.is_empty() {
         println!();
