--- a/core/budgets/src/state.rs
+++ b/core/budgets/src/state.rs
@@ -1,481 +1,563 @@
-//! Who may hold what at most: changed only by commands of the agreed log, the same wherever they are applied.
+//! Who may hold how much: changed only by commands of the replicated log, the same wherever they are applied.
 //!
-//! For each budget `reserved for floors + counted shares <= WHOLE`, and floors that are counted are within what is reserved.
+//! For each budget `reserved for minimums + committed quotas <= TOTAL`, and committed minimums are within what is reserved.
 //! Every command keeps that or does nothing; none needs a clock.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use serde::{Deserialize, Serialize};
 
-use crate::{FrontId, Holder, Incarnation, Key, Kind, Micros, Number, Parts, WHOLE};
-
-/// Bounds: fronts, budgets that have shares, runs of one front that are counted, changes in one command.
-pub const FRONTS: usize = 1024;
-pub const KEYS: usize = 1024;
-pub const RUNS: usize = 4;
-pub const CHANGES: usize = 4096;
-
-/// The floors of a kind of budgets.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct FloorRule {
-    /// The part of each such budget that is set aside for the floors of all fronts.
-    pub parts: Parts,
-    /// A floor that is smaller is of no use: then fewer fronts have one.
-    pub least: Parts,
-}
+use crate::command::{MAX_BUDGETS, MAX_CHANGES, MAX_FRONTS, MAX_INCARNATIONS};
+use crate::{
+    BudgetCommand, BudgetId, BudgetKind, CommandRejected, ConfirmedReduction, Epoch, FrontId, HolderId,
+    Incarnation, Micros, MinimumRule, PartsPerMillion, TOTAL,
+};
 
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Command {
-    /// The fronts that there are, and their floors; a version that is not higher changes nothing.
-    List { version: u64, fronts: Vec<FrontId>, floors: Vec<(Kind, FloorRule)>, lease: Micros },
-    /// A run of a listed front begins; earlier ones are told to use nothing.
-    Join { holder: Holder },
-    /// The holder has stopped spending for good.
-    Leave { holder: Holder },
-    /// Shares as they should be. What rises does so as far as there is room.
-    Divide { changes: Vec<(Holder, Key, Parts)> },
-    /// Holders use no more than what they are told by these numbers: said by them, or outwaited.
-    Settle { settled: Vec<Settled> },
-    /// All leases of this run are over, if nothing has changed for it since this number.
-    Lapse { holder: Holder, number: Number },
-    /// A machine is known to be off for good: its floors are free. Only for a front that is not listed.
-    Forget { front: FrontId },
+/// What a holder may be using at most, and what it is to use.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+pub struct Allocation {
+    /// What it may still be using: not available to others.
+    pub committed: PartsPerMillion,
+    /// What it should have.
+    pub target: PartsPerMillion,
+    /// Epoch of the last change of [`Allocation::granted`].
+    pub epoch: Epoch,
 }
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Settled {
-    Share { holder: Holder, key: Key, number: Number },
-    Floor { front: FrontId, kind: Kind, number: Number },
-}
+impl Allocation {
+    /// What the holder is told to use.
+    pub fn granted(&self) -> PartsPerMillion {
+        self.target.min(self.committed)
+    }
 
-/// Why a command did nothing.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Refused {
-    /// The list that is in force is as new.
-    OldList,
-    /// More than the bounds allow.
-    TooMany,
-    /// Floors over the whole.
-    OverWhole,
-    NotListed,
-    /// A later run of this front has begun, or this one has left.
-    Superseded,
-    /// Something has changed since.
-    Changed,
-    StillListed,
+    /// Whether the holder may still be using more than it is told to.
+    pub fn is_being_reduced(&self) -> bool {
+        self.committed > self.granted()
+    }
 }
 
-/// What a holder may be using at most, and what it is told to use.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Counted {
-    pub counted: Parts,
-    pub target: Parts,
-    /// Of the last change of what it is told.
-    pub number: Number,
+/// The quotas of one incarnation of a front.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+pub struct HolderState {
+    /// By budget.
+    pub quotas: BTreeMap<BudgetId, Allocation>,
+    /// Epoch of the last change of anything that it is told.
+    pub epoch: Epoch,
 }
 
-impl Counted {
-    /// What it is told to use.
-    pub fn told(&self) -> Parts {
-        self.target.min(self.counted)
+impl HolderState {
+    fn revoke_all(&mut self, epoch: Epoch) {
+        for quota in self.quotas.values_mut() {
+            quota.target = 0;
+            quota.epoch = epoch;
+            self.epoch = epoch;
+        }
     }
 }
 
+/// All that is accounted for one front.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Run {
-    pub shares: BTreeMap<Key, Counted>,
-    /// Of the last change of anything that it is told.
-    pub last: Number,
+pub struct FrontAccount {
+    /// It is in the list in force.
+    pub is_listed: bool,
+    /// The latest incarnation that has joined; lower ones never come back.
+    pub latest_incarnation: Incarnation,
+    /// That incarnation has not left.
+    pub is_active: bool,
+    /// Its guaranteed minimums.
+    pub minimums: BTreeMap<BudgetKind, Allocation>,
+    /// Epoch of the last change of its minimums.
+    pub minimums_epoch: Epoch,
+    /// Its incarnations that may still be spending.
+    pub holders: BTreeMap<Incarnation, HolderState>,
 }
 
-#[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Account {
-    pub listed: bool,
-    /// The latest run that has joined; lower ones never come back.
-    pub newest: Incarnation,
-    /// It is running, as far as it has said.
-    pub here: bool,
-    pub floors: BTreeMap<Kind, Counted>,
-    /// Of the last change of its floors.
-    pub floors_last: Number,
-    pub runs: BTreeMap<Incarnation, Run>,
+impl FrontAccount {
+    fn is_current(&self, incarnation: Incarnation) -> bool {
+        self.is_active && self.latest_incarnation == incarnation
+    }
+
+    /// Sets the target of a minimum; its epoch changes only with what is granted.
+    fn retarget_minimum(&mut self, kind: BudgetKind, target: PartsPerMillion, epoch: Epoch) {
+        if target == 0 && !self.minimums.contains_key(&kind) {
+            return;
+        }
+        let minimum = self.minimums.entry(kind).or_default();
+        let granted_before = minimum.granted();
+        minimum.target = target;
+        if minimum.granted() != granted_before {
+            minimum.epoch = epoch;
+            self.minimums_epoch = epoch;
+        }
+    }
+}
+
+/// A holder with what it has.
+#[derive(Clone, Copy, Debug)]
+pub struct HolderEntry<'a> {
+    /// Who.
+    pub id: HolderId,
+    /// Its quotas.
+    pub state: &'a HolderState,
+    /// Whether it is the latest incarnation of its front.
+    pub is_current: bool,
 }
 
+/// The replicated state of all budgets.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct State {
-    version: u64,
-    rules: BTreeMap<Kind, FloorRule>,
-    /// Kept from shares, by kind.
-    reserved: BTreeMap<Kind, Parts>,
-    accounts: BTreeMap<FrontId, Account>,
-    /// Sum of the counted shares of each budget.
-    sums: BTreeMap<Key, Parts>,
-    number: Number,
-    /// Length of a lease that is told now, and the longest that ever was: so long one may still be in force.
+pub struct BudgetState {
+    front_list_version: u64,
+    minimum_rules: BTreeMap<BudgetKind, MinimumRule>,
+    /// Withheld from quotas, by kind.
+    reserved: BTreeMap<BudgetKind, PartsPerMillion>,
+    accounts: BTreeMap<FrontId, FrontAccount>,
+    /// Sum of the committed quotas of each budget.
+    committed_quotas: BTreeMap<BudgetId, PartsPerMillion>,
+    epoch: Epoch,
+    /// Length of a lease that is granted now.
     lease: Micros,
-    lease_most: Micros,
+    /// The longest that ever was: one of that length may still be in force.
+    longest_lease: Micros,
 }
 
-impl State {
-    /// Version of the list in force; 0 before the first.
-    pub fn version(&self) -> u64 {
-        self.version
+impl BudgetState {
+    /// Version of the list of fronts in force; 0 before the first.
+    pub fn front_list_version(&self) -> u64 {
+        self.front_list_version
+    }
+
+    /// Length of leases that are granted now.
+    pub fn lease(&self) -> Micros {
+        self.lease
     }
 
-    /// The length of leases, and the longest that may have been told.
-    pub fn leases(&self) -> (Micros, Micros) {
-        (self.lease, self.lease_most)
+    /// The longest lease that may still be in force.
+    pub fn longest_lease(&self) -> Micros {
+        self.longest_lease
     }
 
-    pub fn accounts(&self) -> &BTreeMap<FrontId, Account> {
+    /// The accounts of all fronts.
+    pub fn accounts(&self) -> &BTreeMap<FrontId, FrontAccount> {
         &self.accounts
     }
 
-    pub fn account(&self, front: FrontId) -> Option<&Account> {
+    /// The account of a front.
+    pub fn account(&self, front: FrontId) -> Option<&FrontAccount> {
         self.accounts.get(&front)
     }
 
-    /// A run that has joined and is the latest of its front.
-    pub fn current(&self, holder: Holder) -> Option<&Run> {
-        let account =
-            self.accounts.get(&holder.front).filter(|a| a.newest == holder.incarnation && a.here)?;
-        account.runs.get(&holder.incarnation)
+    /// The state of a holder that has joined and is the latest incarnation of its front.
+    pub fn current_holder(&self, holder: HolderId) -> Option<&HolderState> {
+        let account = self.accounts.get(&holder.front)?;
+        account.is_current(holder.incarnation).then_some(())?;
+        account.holders.get(&holder.incarnation)
     }
 
-    /// All runs that are counted, with whether they are the latest of their front.
-    pub fn runs(&self) -> impl Iterator<Item = (Holder, &Run, bool)> {
+    /// All holders that are accounted for.
+    pub fn holders(&self) -> impl Iterator<Item = HolderEntry<'_>> {
         self.accounts.iter().flat_map(|(front, account)| {
-            account.runs.iter().map(|(incarnation, run)| {
-                let current = account.newest == *incarnation && account.here;
-                (Holder { front: *front, incarnation: *incarnation }, run, current)
+            account.holders.iter().map(|(incarnation, state)| HolderEntry {
+                id: HolderId { front: *front, incarnation: *incarnation },
+                state,
+                is_current: account.is_current(*incarnation),
             })
         })
     }
 
-    pub fn keys(&self) -> impl Iterator<Item = Key> + '_ {
-        self.sums.keys().copied()
+    /// The budgets that have quotas.
+    pub fn budgets(&self) -> impl Iterator<Item = BudgetId> + '_ {
+        self.committed_quotas.keys().copied()
     }
 
-    /// What shares of a budget of this kind may take together.
-    pub fn for_shares(&self, kind: Kind) -> Parts {
-        WHOLE - self.reserved.get(&kind).copied().unwrap_or(0)
+    /// What quotas of a budget of this kind may take together.
+    pub fn available_to_quotas(&self, kind: BudgetKind) -> PartsPerMillion {
+        TOTAL - self.reserved.get(&kind).copied().unwrap_or(0)
     }
 
-    /// What no share of this budget is counted for.
-    pub fn room(&self, key: Key) -> Parts {
-        self.for_shares(key.kind) - self.sums.get(&key).copied().unwrap_or(0)
+    /// What no quota of this budget is committed for.
+    pub fn unallocated(&self, budget: BudgetId) -> PartsPerMillion {
+        let committed = self.committed_quotas.get(&budget).copied().unwrap_or(0);
+        self.available_to_quotas(budget.kind) - committed
     }
 
-    fn next(&mut self) -> Number {
-        self.number.0 += 1;
-        self.number
+    fn next_epoch(&mut self) -> Epoch {
+        self.epoch.0 += 1;
+        self.epoch
     }
 
-    pub fn apply(&mut self, command: &Command) -> Result<(), Refused> {
-        let done = match command {
-            Command::List { version, fronts, floors, lease } => self.list(*version, fronts, floors, *lease),
-            Command::Join { holder } => self.join(*holder),
-            Command::Leave { holder } => self.leave(*holder),
-            Command::Divide { changes } => self.divide(changes),
-            Command::Settle { settled } => self.settle(settled),
-            Command::Lapse { holder, number } => self.lapse(*holder, *number),
-            Command::Forget { front } => self.forget(*front),
+    /// Applies a command of the log.
+    ///
+    /// # Errors
+    /// Why the command did nothing.
+    pub fn apply(&mut self, command: &BudgetCommand) -> Result<(), CommandRejected> {
+        let applied = match command {
+            BudgetCommand::UpdateFronts { version, fronts, minimums, lease } => {
+                self.update_fronts(*version, fronts, minimums, *lease)
+            }
+            BudgetCommand::Join { holder } => self.join(*holder),
+            BudgetCommand::Leave { holder } => self.leave(*holder),
+            BudgetCommand::Allocate { changes } => self.allocate(changes),
+            BudgetCommand::ConfirmReductions { reductions } => self.confirm_reductions(reductions),
+            BudgetCommand::ExpireLease { holder, epoch } => self.expire_lease(*holder, *epoch),
+            BudgetCommand::RemoveFront { front } => self.remove_front(*front),
         };
-        if done.is_ok() {
-            self.level();
+        if applied.is_ok() {
+            self.rebalance_minimums();
         }
-        debug_assert_eq!(self.check(), Ok(()));
-        done
+        debug_assert_eq!(self.check_invariant(), Ok(()));
+        applied
     }
 
-    fn list(
+    fn update_fronts(
         &mut self,
         version: u64,
         fronts: &[FrontId],
-        floors: &[(Kind, FloorRule)],
+        minimums: &[(BudgetKind, MinimumRule)],
         lease: Micros,
-    ) -> Result<(), Refused> {
-        if version <= self.version {
-            return Err(Refused::OldList);
+    ) -> Result<(), CommandRejected> {
+        if version <= self.front_list_version {
+            return Err(CommandRejected::StaleFrontList);
         }
         let listed: BTreeSet<FrontId> = fronts.iter().copied().collect();
         let unlisted = self.accounts.keys().filter(|f| !listed.contains(f)).count();
-        if listed.len() + unlisted > FRONTS {
-            return Err(Refused::TooMany);
+        if listed.len() + unlisted > MAX_FRONTS {
+            return Err(CommandRejected::LimitExceeded);
         }
-        if floors.iter().any(|(_, rule)| rule.parts > WHOLE) {
-            return Err(Refused::OverWhole);
+        if minimums.iter().any(|(_, rule)| rule.set_aside > TOTAL) {
+            return Err(CommandRejected::ExceedsTotal);
         }
-        self.version = version;
-        (self.lease, self.lease_most) = (lease, self.lease_most.max(lease));
-        self.rules = floors.iter().copied().collect();
+        self.front_list_version = version;
+        self.lease = lease;
+        self.longest_lease = self.longest_lease.max(lease);
+        self.minimum_rules = minimums.iter().copied().collect();
         for front in &listed {
             self.accounts.entry(*front).or_default();
         }
-        let floors: BTreeMap<Kind, BTreeMap<FrontId, Parts>> =
-            self.rules.iter().map(|(kind, rule)| (*kind, floor_of_each(*kind, rule, &listed))).collect();
-        let number = self.next();
+        self.update_accounts(&listed);
+        Ok(())
+    }
+
+    /// Sets the minimums' targets by the list, and revokes the quotas of fronts that are not in it.
+    fn update_accounts(&mut self, listed: &BTreeSet<FrontId>) {
+        let rules = self.minimum_rules.iter();
+        let targets: BTreeMap<BudgetKind, BTreeMap<FrontId, PartsPerMillion>> =
+            rules.map(|(kind, rule)| (*kind, divide_minimum(*kind, rule, listed))).collect();
+        let epoch = self.next_epoch();
         for (front, account) in &mut self.accounts {
-            account.listed = listed.contains(front);
-            for kind in Kind::ALL {
-                let target = floors.get(&kind).and_then(|of| of.get(front)).copied().unwrap_or(0);
-                if target == 0 && !account.floors.contains_key(&kind) {
-                    continue;
-                }
-                let floor = account.floors.entry(kind).or_default();
-                let told = floor.told();
-                floor.target = target;
-                if floor.told() != told {
-                    (floor.number, account.floors_last) = (number, number);
-                }
+            account.is_listed = listed.contains(front);
+            for kind in BudgetKind::ALL {
+                let target = targets.get(&kind).and_then(|by_front| by_front.get(front)).copied();
+                account.retarget_minimum(kind, target.unwrap_or(0), epoch);
             }
-            if !account.listed {
-                for run in account.runs.values_mut() {
-                    tell_nothing(run, number);
-                }
+            if !account.is_listed {
+                account.holders.values_mut().for_each(|holder| holder.revoke_all(epoch));
             }
         }
-        Ok(())
     }
 
-    fn join(&mut self, holder: Holder) -> Result<(), Refused> {
-        let number = self.next();
-        let Some(account) = self.accounts.get_mut(&holder.front).filter(|a| a.listed) else {
-            return Err(Refused::NotListed);
-        };
-        if holder.incarnation <= account.newest {
-            return Err(Refused::Superseded);
-        }
-        if account.runs.len() >= RUNS {
-            return Err(Refused::TooMany);
+    fn join(&mut self, holder: HolderId) -> Result<(), CommandRejected> {
+        let epoch = self.next_epoch();
+        let account = self.accounts.get_mut(&holder.front).filter(|account| account.is_listed);
+        let account = account.ok_or(CommandRejected::UnknownFront)?;
+        if holder.incarnation <= account.latest_incarnation {
+            return Err(CommandRejected::Superseded);
         }
-        for run in account.runs.values_mut() {
-            tell_nothing(run, number);
+        if account.holders.len() >= MAX_INCARNATIONS {
+            return Err(CommandRejected::LimitExceeded);
         }
-        (account.newest, account.here) = (holder.incarnation, true);
-        account.runs.insert(holder.incarnation, Run { shares: BTreeMap::new(), last: number });
+        account.holders.values_mut().for_each(|earlier| earlier.revoke_all(epoch));
+        account.latest_incarnation = holder.incarnation;
+        account.is_active = true;
+        account.holders.insert(holder.incarnation, HolderState { quotas: BTreeMap::new(), epoch });
         Ok(())
     }
 
-    fn leave(&mut self, holder: Holder) -> Result<(), Refused> {
-        let account = self.accounts.get_mut(&holder.front).ok_or(Refused::NotListed)?;
-        let run = account.runs.remove(&holder.incarnation).ok_or(Refused::Superseded)?;
-        account.here &= account.newest != holder.incarnation;
-        self.free(run.shares);
+    fn leave(&mut self, holder: HolderId) -> Result<(), CommandRejected> {
+        let account = self.accounts.get_mut(&holder.front).ok_or(CommandRejected::UnknownFront)?;
+        let state = account.holders.remove(&holder.incarnation).ok_or(CommandRejected::Superseded)?;
+        account.is_active &= account.latest_incarnation != holder.incarnation;
+        self.release_all(state.quotas);
         Ok(())
     }
 
-    fn divide(&mut self, changes: &[(Holder, Key, Parts)]) -> Result<(), Refused> {
-        if changes.len() > CHANGES {
-            return Err(Refused::TooMany);
-        }
-        // What falls goes first: it makes no room yet, but what it is told must not be more than what is counted.
-        for (holder, key, parts) in changes {
-            let number = Number(self.number.0 + 1);
-            let room = self.room(*key);
-            let keys = self.sums.len();
-            let known = self.sums.contains_key(key);
-            let Some(account) =
-                self.accounts.get_mut(&holder.front).filter(|a| a.newest == holder.incarnation && a.here)
-            else {
-                continue;
-            };
-            let Some(run) = account.runs.get_mut(&holder.incarnation) else { continue };
-            if *parts > 0 && !account.listed {
-                continue;
-            }
-            let before = run.shares.get(key).copied().unwrap_or_default();
-            let rise = parts.saturating_sub(before.counted).min(room);
-            let after = Counted {
-                counted: before.counted + rise,
-                target: (*parts).min(before.counted + rise),
-                number,
-            };
-            if after.told() == before.told() || (!known && keys >= KEYS) {
-                continue;
-            }
-            self.number = number;
-            run.last = number;
-            run.shares.insert(*key, after);
-            *self.sums.entry(*key).or_insert(0) += rise;
+    fn allocate(&mut self, changes: &[(HolderId, BudgetId, PartsPerMillion)]) -> Result<(), CommandRejected> {
+        if changes.len() > MAX_CHANGES {
+            return Err(CommandRejected::LimitExceeded);
+        }
+        for (holder, budget, target) in changes {
+            self.allocate_one(*holder, *budget, *target);
         }
         Ok(())
     }
 
-    fn settle(&mut self, settled: &[Settled]) -> Result<(), Refused> {
-        if settled.len() > CHANGES {
-            return Err(Refused::TooMany);
-        }
-        for settled in settled {
-            match settled {
-                Settled::Share { holder, key, number } => {
-                    let account = self.accounts.get_mut(&holder.front);
-                    let Some(run) = account.and_then(|a| a.runs.get_mut(&holder.incarnation)) else {
-                        continue;
-                    };
-                    let Some(share) = run.shares.get_mut(key).filter(|s| s.number == *number) else {
-                        continue;
-                    };
-                    let freed = share.counted - share.told();
-                    share.counted = share.told();
-                    if share.counted == 0 {
-                        run.shares.remove(key);
-                    }
-                    self.give_back(*key, freed);
+    /// Sets one quota, if its holder is current; it rises no further than there is room.
+    fn allocate_one(&mut self, holder: HolderId, budget: BudgetId, target: PartsPerMillion) {
+        let epoch = Epoch(self.epoch.0 + 1);
+        let unallocated = self.unallocated(budget);
+        let is_known = self.committed_quotas.contains_key(&budget);
+        let has_room = is_known || self.committed_quotas.len() < MAX_BUDGETS;
+        let account = self.accounts.get_mut(&holder.front);
+        let Some(account) = account.filter(|a| a.is_current(holder.incarnation)) else { return };
+        if target > 0 && !account.is_listed {
+            return;
+        }
+        let Some(state) = account.holders.get_mut(&holder.incarnation) else { return };
+        let before = state.quotas.get(&budget).copied().unwrap_or_default();
+        let rise = target.saturating_sub(before.committed).min(unallocated);
+        let committed = before.committed + rise;
+        let after = Allocation { committed, target: target.min(committed), epoch };
+        if after.granted() == before.granted() || !has_room {
+            return;
+        }
+        self.epoch = epoch;
+        state.epoch = epoch;
+        state.quotas.insert(budget, after);
+        *self.committed_quotas.entry(budget).or_insert(0) += rise;
+    }
+
+    fn confirm_reductions(&mut self, reductions: &[ConfirmedReduction]) -> Result<(), CommandRejected> {
+        if reductions.len() > MAX_CHANGES {
+            return Err(CommandRejected::LimitExceeded);
+        }
+        for reduction in reductions {
+            match reduction {
+                ConfirmedReduction::Quota { holder, budget, epoch } => {
+                    self.confirm_quota(*holder, *budget, *epoch);
                 }
-                Settled::Floor { front, kind, number } => {
-                    let Some(account) = self.accounts.get_mut(front) else { continue };
-                    let Some(floor) = account.floors.get_mut(kind).filter(|f| f.number == *number) else {
-                        continue;
-                    };
-                    floor.counted = floor.told();
-                    if floor.counted == 0 && floor.target == 0 {
-                        account.floors.remove(kind);
-                    }
+                ConfirmedReduction::Minimum { front, kind, epoch } => {
+                    self.confirm_minimum(*front, *kind, *epoch);
                 }
             }
         }
         Ok(())
     }
 
-    fn lapse(&mut self, holder: Holder, number: Number) -> Result<(), Refused> {
-        let next = Number(self.number.0 + 1);
-        let account = self.accounts.get_mut(&holder.front).ok_or(Refused::NotListed)?;
-        let current = account.newest == holder.incarnation && account.here;
-        let run = account.runs.get_mut(&holder.incarnation).ok_or(Refused::Superseded)?;
-        if run.last != number {
-            return Err(Refused::Changed);
+    fn confirm_quota(&mut self, holder: HolderId, budget: BudgetId, epoch: Epoch) {
+        let account = self.accounts.get_mut(&holder.front);
+        let Some(state) = account.and_then(|a| a.holders.get_mut(&holder.incarnation)) else { return };
+        let Some(quota) = state.quotas.get_mut(&budget).filter(|q| q.epoch == epoch) else { return };
+        let freed = quota.committed - quota.granted();
+        quota.committed = quota.granted();
+        if quota.committed == 0 {
+            state.quotas.remove(&budget);
         }
-        let shares = std::mem::take(&mut run.shares);
-        // An answer that was given before is older than whatever is told from now on.
-        run.last = next;
-        if !current {
-            account.runs.remove(&holder.incarnation);
+        self.release(budget, freed);
+    }
+
+    fn confirm_minimum(&mut self, front: FrontId, kind: BudgetKind, epoch: Epoch) {
+        let Some(account) = self.accounts.get_mut(&front) else { return };
+        let minimum = account.minimums.get_mut(&kind).filter(|m| m.epoch == epoch);
+        let Some(minimum) = minimum else { return };
+        minimum.committed = minimum.granted();
+        if minimum.committed == 0 && minimum.target == 0 {
+            account.minimums.remove(&kind);
         }
-        self.number = next;
-        self.free(shares);
-        Ok(())
     }
 
-    fn forget(&mut self, front: FrontId) -> Result<(), Refused> {
-        match self.accounts.get(&front) {
-            None => Err(Refused::NotListed),
-            Some(account) if account.listed => Err(Refused::StillListed),
-            Some(_) => {
-                if let Some(account) = self.accounts.remove(&front) {
-                    account.runs.into_values().for_each(|run| self.free(run.shares));
-                }
-                Ok(())
-            }
+    fn expire_lease(&mut self, holder: HolderId, epoch: Epoch) -> Result<(), CommandRejected> {
+        let next = Epoch(self.epoch.0 + 1);
+        let account = self.accounts.get_mut(&holder.front).ok_or(CommandRejected::UnknownFront)?;
+        let is_current = account.is_current(holder.incarnation);
+        let state = account.holders.get_mut(&holder.incarnation).ok_or(CommandRejected::Superseded)?;
+        if state.epoch != epoch {
+            return Err(CommandRejected::StaleEpoch);
         }
+        let quotas = std::mem::take(&mut state.quotas);
+        // A response from before is older than whatever is granted from now on.
+        state.epoch = next;
+        if !is_current {
+            account.holders.remove(&holder.incarnation);
+        }
+        self.epoch = next;
+        self.release_all(quotas);
+        Ok(())
     }
 
-    fn free(&mut self, shares: BTreeMap<Key, Counted>) {
-        for (key, share) in shares {
-            self.give_back(key, share.counted);
+    fn remove_front(&mut self, front: FrontId) -> Result<(), CommandRejected> {
+        let account = self.accounts.get(&front).ok_or(CommandRejected::UnknownFront)?;
+        if account.is_listed {
+            return Err(CommandRejected::FrontStillListed);
         }
+        if let Some(account) = self.accounts.remove(&front) {
+            account.holders.into_values().for_each(|holder| self.release_all(holder.quotas));
+        }
+        Ok(())
     }
 
-    fn give_back(&mut self, key: Key, parts: Parts) {
-        if let Some(sum) = self.sums.get_mut(&key) {
-            *sum -= parts.min(*sum);
+    fn release_all(&mut self, quotas: BTreeMap<BudgetId, Allocation>) {
+        for (budget, quota) in quotas {
+            self.release(budget, quota.committed);
         }
-        self.drop_unused(key);
     }
 
-    fn drop_unused(&mut self, key: Key) {
-        let used = |a: &Account| a.runs.values().any(|r| r.shares.contains_key(&key));
-        if self.sums.get(&key) == Some(&0) && !self.accounts.values().any(used) {
-            self.sums.remove(&key);
+    fn release(&mut self, budget: BudgetId, parts: PartsPerMillion) {
+        if let Some(committed) = self.committed_quotas.get_mut(&budget) {
+            *committed -= parts.min(*committed);
+        }
+        let has_quota = |a: &FrontAccount| a.holders.values().any(|h| h.quotas.contains_key(&budget));
+        let is_unused = self.committed_quotas.get(&budget) == Some(&0);
+        if is_unused && !self.accounts.values().any(has_quota) {
+            self.committed_quotas.remove(&budget);
         }
     }
 
-    /// Brings what is reserved, and the floors, as near to the list as what is counted allows.
-    fn level(&mut self) {
-        for kind in Kind::ALL {
-            // As much as the floors come to: what their rule sets aside beyond that would be nobody's.
-            let targets = self.accounts.values().filter_map(|a| a.floors.get(&kind)).map(|f| f.target);
-            let wanted = targets.sum::<Parts>().min(self.rules.get(&kind).map_or(0, |r| r.parts));
-            let floors = |s: &State| -> Parts {
-                s.accounts.values().filter_map(|a| a.floors.get(&kind)).map(|f| f.counted).sum()
-            };
-            let shares = self.sums.iter().filter(|(k, _)| k.kind == kind).map(|(_, sum)| *sum).max();
-            let (counted, shares) = (floors(self), shares.unwrap_or(0));
-            let reserved = wanted.max(counted).min(WHOLE - shares).max(counted);
-            match reserved {
-                0 => drop(self.reserved.remove(&kind)),
-                reserved => drop(self.reserved.insert(kind, reserved)),
-            }
-            let mut free = reserved - counted;
-            let lacks = |a: &Account| a.floors.get(&kind).is_some_and(|f| f.target > f.counted);
-            if free == 0 || !self.accounts.values().any(lacks) {
-                continue;
-            }
-            let number = self.next();
-            for account in self.accounts.values_mut() {
-                let Some(floor) = account.floors.get_mut(&kind) else { continue };
-                let rise = floor.target.saturating_sub(floor.counted).min(free);
-                if rise > 0 {
-                    free -= rise;
-                    floor.counted += rise;
-                    (floor.number, account.floors_last) = (number, number);
-                }
+    /// Brings what is reserved, and the minimums, as near to the list as what is committed allows.
+    fn rebalance_minimums(&mut self) {
+        for kind in BudgetKind::ALL {
+            let reserved = self.reserve_minimums(kind);
+            let available = reserved - self.committed_minimums(kind);
+            if available > 0 {
+                self.raise_minimums(kind, available);
             }
         }
-        self.accounts.retain(|_, a| a.listed || !a.runs.is_empty() || !a.floors.is_empty());
+        self.accounts.retain(|_, a| a.is_listed || !a.holders.is_empty() || !a.minimums.is_empty());
     }
 
-    /// The invariant, reckoned anew from the accounts.
-    pub fn check(&self) -> Result<(), String> {
-        let mut sums: BTreeMap<Key, u64> = BTreeMap::new();
-        let mut floors: BTreeMap<Kind, u64> = BTreeMap::new();
-        for account in self.accounts.values() {
-            for (kind, floor) in &account.floors {
-                *floors.entry(*kind).or_default() += u64::from(floor.counted);
-            }
-            for (key, share) in account.runs.values().flat_map(|r| &r.shares) {
-                *sums.entry(*key).or_default() += u64::from(share.counted);
-                if share.target > share.counted {
-                    return Err(format!("{key:?}: told {} of {} counted", share.target, share.counted));
-                }
+    /// Reserves as much as the minimums of this kind come to: more would be of use to nobody.
+    fn reserve_minimums(&mut self, kind: BudgetKind) -> PartsPerMillion {
+        let targets = self.minimums(kind).map(|m| m.target).sum::<PartsPerMillion>();
+        let set_aside = self.minimum_rules.get(&kind).map_or(0, |rule| rule.set_aside);
+        let wanted = targets.min(set_aside);
+        let committed = self.committed_minimums(kind);
+        let quotas = self.committed_quotas.iter().filter(|(budget, _)| budget.kind == kind);
+        let most_quotas = quotas.map(|(_, committed)| *committed).max().unwrap_or(0);
+        let reserved = wanted.max(committed).min(TOTAL - most_quotas).max(committed);
+        if reserved == 0 {
+            self.reserved.remove(&kind);
+        } else {
+            self.reserved.insert(kind, reserved);
+        }
+        reserved
+    }
+
+    /// Raises minimums that are below their targets, in the order of the fronts.
+    fn raise_minimums(&mut self, kind: BudgetKind, mut available: PartsPerMillion) {
+        if !self.minimums(kind).any(|m| m.target > m.committed) {
+            return;
+        }
+        let epoch = self.next_epoch();
+        for account in self.accounts.values_mut() {
+            let Some(minimum) = account.minimums.get_mut(&kind) else { continue };
+            let rise = minimum.target.saturating_sub(minimum.committed).min(available);
+            if rise > 0 {
+                available -= rise;
+                minimum.committed += rise;
+                minimum.epoch = epoch;
+                account.minimums_epoch = epoch;
             }
         }
-        for (key, sum) in &sums {
-            if self.sums.get(key).copied().map(u64::from) != Some(*sum) {
-                return Err(format!("{key:?}: {sum} counted, {:?} kept", self.sums.get(key)));
+    }
+
+    fn minimums(&self, kind: BudgetKind) -> impl Iterator<Item = &Allocation> {
+        self.accounts.values().filter_map(move |account| account.minimums.get(&kind))
+    }
+
+    fn committed_minimums(&self, kind: BudgetKind) -> PartsPerMillion {
+        self.minimums(kind).map(|m| m.committed).sum()
+    }
+
+    /// Checks the invariant, with all sums computed anew from the accounts.
+    ///
+    /// # Errors
+    /// The first violation that is found.
+    pub fn check_invariant(&self) -> Result<(), InvariantViolation> {
+        let sums = self.sum_quotas()?;
+        for (budget, sum) in &sums {
+            let recorded = self.committed_quotas.get(budget).copied();
+            if recorded.map(u64::from) != Some(*sum) {
+                return Err(InvariantViolation::WrongSum { budget: *budget, sum: *sum, recorded });
             }
         }
-        for kind in Kind::ALL {
+        for kind in BudgetKind::ALL {
             let reserved = u64::from(self.reserved.get(&kind).copied().unwrap_or(0));
-            if floors.get(&kind).copied().unwrap_or(0) > reserved {
-                return Err(format!("{kind:?}: floors over the {reserved} reserved"));
+            let minimums: u64 = self.minimums(kind).map(|m| u64::from(m.committed)).sum();
+            if minimums > reserved {
+                return Err(InvariantViolation::MinimumsAboveReserve { kind, minimums, reserved });
             }
-            for (key, sum) in sums.iter().filter(|(k, _)| k.kind == kind) {
-                if sum + reserved > u64::from(WHOLE) {
-                    return Err(format!("{key:?}: {sum} and {reserved} reserved are over the whole"));
+            for (budget, sum) in sums.iter().filter(|(budget, _)| budget.kind == kind) {
+                if sum + reserved > u64::from(TOTAL) {
+                    return Err(InvariantViolation::AboveTotal { budget: *budget, sum: *sum, reserved });
                 }
             }
         }
         Ok(())
     }
-}
 
-fn tell_nothing(run: &mut Run, number: Number) {
-    for share in run.shares.values_mut() {
-        (share.target, share.number, run.last) = (0, number, number);
+    fn sum_quotas(&self) -> Result<BTreeMap<BudgetId, u64>, InvariantViolation> {
+        let mut sums: BTreeMap<BudgetId, u64> = BTreeMap::new();
+        for (budget, quota) in self.holders().flat_map(|holder| &holder.state.quotas) {
+            if quota.target > quota.committed {
+                return Err(InvariantViolation::TargetAboveCommitted { budget: *budget, quota: *quota });
+            }
+            *sums.entry(*budget).or_default() += u64::from(quota.committed);
+        }
+        Ok(sums)
     }
 }
 
-/// Equal floors, or, where one would be too small to be of use, whole ones for as many fronts as there are; which fronts
+/// What is wrong with a state; never the case, whatever commands were applied.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum InvariantViolation {
+    /// A holder is told to use more than what is committed for it.
+    #[error("{budget:?}: a target above what is committed, {quota:?}")]
+    TargetAboveCommitted {
+        /// The budget.
+        budget: BudgetId,
+        /// The quota.
+        quota: Allocation,
+    },
+    /// The recorded sum of a budget's quotas is not their sum.
+    #[error("{budget:?}: quotas sum to {sum}, {recorded:?} is recorded")]
+    WrongSum {
+        /// The budget.
+        budget: BudgetId,
+        /// What the accounts give.
+        sum: u64,
+        /// What the state has recorded.
+        recorded: Option<PartsPerMillion>,
+    },
+    /// Minimums above what is reserved for them.
+    #[error("{kind:?}: minimums of {minimums} are above the {reserved} reserved")]
+    MinimumsAboveReserve {
+        /// The kind.
+        kind: BudgetKind,
+        /// Sum of the committed minimums.
+        minimums: u64,
+        /// What is reserved.
+        reserved: u64,
+    },
+    /// Quotas and reserve above the total.
+    #[error("{budget:?}: quotas of {sum} and {reserved} reserved are above the total")]
+    AboveTotal {
+        /// The budget.
+        budget: BudgetId,
+        /// Sum of the committed quotas.
+        sum: u64,
+        /// What is reserved.
+        reserved: u64,
+    },
+}
+
+/// Even minimums, or, where one would be too small to be of use, whole units for as many fronts as there are; which fronts
 /// these are differs from kind to kind.
-fn floor_of_each(kind: Kind, rule: &FloorRule, fronts: &BTreeSet<FrontId>) -> BTreeMap<FrontId, Parts> {
-    let even = rule.parts / (fronts.len().max(1) as Parts);
-    if even >= rule.least {
-        return fronts.iter().map(|f| (*f, even)).collect();
+fn divide_minimum(
+    kind: BudgetKind,
+    rule: &MinimumRule,
+    fronts: &BTreeSet<FrontId>,
+) -> BTreeMap<FrontId, PartsPerMillion> {
+    let even = rule.set_aside / (fronts.len().max(1) as PartsPerMillion);
+    if even >= rule.unit {
+        return fronts.iter().map(|front| (*front, even)).collect();
     }
-    let some = (rule.parts / rule.least.max(1)) as usize;
+    let count = (rule.set_aside / rule.unit.max(1)) as usize;
     let mut order: Vec<FrontId> = fronts.iter().copied().collect();
-    let turn = kind as u64 + 1;
-    order.sort_by_key(|f| (f.0.rotate_left(13).wrapping_mul(turn.wrapping_mul(0x9E37_79B9_7F4A_7C15)), *f));
-    order.into_iter().take(some).map(|f| (f, rule.least)).collect()
+    order.sort_by_key(|front| (shuffle_key(kind, *front), *front));
+    order.into_iter().take(count).map(|front| (front, rule.unit)).collect()
+}
+
+/// An order of the fronts that is another one for each kind.
+fn shuffle_key(kind: BudgetKind, front: FrontId) -> u64 {
+    const ODD_MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
+    let multiplier = (kind as u64 + 1).wrapping_mul(ODD_MULTIPLIER);
+    front.0.rotate_left(13).wrapping_mul(multiplier)
 }
--- a/core/budgets/tests/lease_model.rs
+++ b/core/budgets/tests/lease_model.rs
@@ -7,11 +7,13 @@
 use std::collections::BTreeSet;
 use std::hash::{Hash, Hasher};
 
-use elmtide_budgets::state::Settled;
-use elmtide_budgets::{Command, FrontId, Holder, Incarnation, Key, Kind, Number, State, WHOLE};
+use elmtide_budgets::ConfirmedReduction;
+use elmtide_budgets::{
+    BudgetCommand, BudgetId, BudgetKind, BudgetState, Epoch, FrontId, HolderId, Incarnation, TOTAL,
+};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
-const KEY: Key = Key { kind: Kind::Retries, id: 0 };
+const KEY: BudgetId = BudgetId { kind: BudgetKind::Retries, resource: 0 };
 /// Steps of a lease, and of its outwaiting: one more, for what lies between an ask and its answer at the leader.
 const LEASE: u8 = 2;
 const OUTWAIT: u8 = 3;
@@ -30,28 +32,28 @@
     NoOutwaiting,
     /// A leader answers without a round of its majority.
     NoRound,
-    /// A cut share counts as settled before its holder says so.
+    /// A cut share counts as reductions before its holder says so.
     SettledUnheard,
     /// A bucket is full after each change of its part.
     Refilled,
 }
 
-/// An answer under way: when its ask was sent, by which number, how much.
+/// An answer under way: when its ask was sent, by which epoch, how much.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-struct Answer {
+struct LeaseResponse {
     to: u8,
     incarnation: u64,
     asked: u8,
-    number: u64,
+    epoch: u64,
     part: u32,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Front {
     incarnation: u64,
-    /// What it uses, by which number, until when.
+    /// What it uses, by which epoch, until when.
     part: u32,
-    number: u64,
+    epoch: u64,
     ends: u8,
     /// Tokens in its bucket, in parts of the burst.
     content: u32,
@@ -68,12 +70,12 @@
 #[derive(Clone, Debug)]
 struct World {
     now: u8,
-    state: State,
+    state: BudgetState,
     fronts: Vec<Front>,
     leader: Leader,
     /// The one before, that goes on without knowing; it has the state of then.
-    old: Option<(Leader, State)>,
-    answers: BTreeSet<Answer>,
+    old: Option<(Leader, BudgetState)>,
+    answers: BTreeSet<LeaseResponse>,
     leaders: u8,
     restarts: u8,
     /// Divisions so far: what is counted in numbers has to end somewhere.
@@ -85,7 +87,7 @@
 
 impl PartialEq for World {
     fn eq(&self, other: &Self) -> bool {
-        self.key() == other.key()
+        self.budget() == other.budget()
     }
 }
 
@@ -93,22 +95,23 @@
 
 impl Hash for World {
     fn hash<H: Hasher>(&self, hasher: &mut H) {
-        self.key().hash(hasher);
+        self.budget().hash(hasher);
     }
 }
 
 /// The shares and numbers of a state: what it differs in here.
-fn digest(state: &State) -> Vec<(u64, u64, u64, u32, u32, u64)> {
-    let runs = state.runs().map(|(holder, run, current)| {
-        let share = run.shares.get(&KEY).copied().unwrap_or_default();
-        let place = holder.front.0 * 2 + u64::from(current);
-        (place, holder.incarnation.0, run.last.0, share.counted, share.told(), share.number.0)
+fn digest(state: &BudgetState) -> Vec<(u64, u64, u64, u32, u32, u64)> {
+    let holders = state.holders().map(|holder| {
+        let quota = holder.state.quotas.get(&KEY).copied().unwrap_or_default();
+        let place = holder.id.front.0 * 2 + u64::from(holder.is_current);
+        let epochs = (holder.state.epoch.0, quota.epoch.0);
+        (place, holder.id.incarnation.0, epochs.0, quota.committed, quota.granted(), epochs.1)
     });
-    runs.collect()
+    holders.collect()
 }
 
 impl World {
-    fn key(&self) -> impl Hash + PartialEq + '_ {
+    fn budget(&self) -> impl Hash + PartialEq + '_ {
         let old = self.old.as_ref().map(|(leader, state)| (leader.clone(), digest(state)));
         (
             (self.now, digest(&self.state), &self.fronts, &self.leader),
@@ -116,8 +119,11 @@
         )
     }
 
-    fn holder(&self, front: usize) -> Holder {
-        Holder { front: FrontId(front as u64 + 1), incarnation: Incarnation(self.fronts[front].incarnation) }
+    fn holder(&self, front: usize) -> HolderId {
+        HolderId {
+            front: FrontId(front as u64 + 1),
+            incarnation: Incarnation(self.fronts[front].incarnation),
+        }
     }
 
     fn in_force(&self, front: usize) -> u32 {
@@ -134,9 +140,9 @@
 enum Step {
     Time,
     /// A front asks, and the leader (or the old one) answers: with a round, if it has a majority.
-    Ask(u8),
+    LeaseRequest(u8),
     AskOld(u8),
-    Deliver(Answer),
+    Deliver(LeaseResponse),
     /// The leader moves the part from one to the other, settles what was said, lapses who is silent.
     Move(u8),
     Settle(u8),
@@ -153,13 +159,13 @@
     tokens: bool,
 }
 
-fn answer_of(state: &State, holder: Holder, front: u8, asked: u8) -> Option<Answer> {
-    let run = state.current(holder)?;
-    let part = run.shares.get(&KEY).map_or(0, |s| s.told());
-    Some(Answer { to: front, incarnation: holder.incarnation.0, asked, number: run.last.0, part })
+fn answer_of(state: &BudgetState, holder: HolderId, front: u8, asked: u8) -> Option<LeaseResponse> {
+    let run = state.current_holder(holder)?;
+    let part = run.quotas.get(&KEY).map_or(0, |s| s.granted());
+    Some(LeaseResponse { to: front, incarnation: holder.incarnation.0, asked, epoch: run.epoch.0, part })
 }
 
-fn answered(leader: &mut Leader, holder: Holder, now: u8) {
+fn answered(leader: &mut Leader, holder: HolderId, now: u8) {
     let place = (holder.front.0 as u8, holder.incarnation.0);
     leader.answered.retain(|(f, i, _)| (*f, *i) != place);
     leader.answered.push((place.0, place.1, now));
@@ -171,10 +177,10 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<World> {
-        let mut state = State::default();
+        let mut state = BudgetState::default();
         let fronts = (1..=FRONTS as u64).map(FrontId).collect();
-        state.apply(&Command::List { version: 1, fronts, floors: vec![], lease: 1 }).unwrap();
-        let front = Front { incarnation: 1, part: 0, number: 0, ends: 0, content: 0 };
+        state.apply(&BudgetCommand::UpdateFronts { version: 1, fronts, minimums: vec![], lease: 1 }).unwrap();
+        let front = Front { incarnation: 1, part: 0, epoch: 0, ends: 0, content: 0 };
         let mut world = World {
             now: 1,
             state,
@@ -190,10 +196,10 @@
         };
         for front in 0..FRONTS {
             let holder = world.holder(front);
-            world.state.apply(&Command::Join { holder }).unwrap();
+            world.state.apply(&BudgetCommand::Join { holder }).unwrap();
         }
         let holder = world.holder(0);
-        world.state.apply(&Command::Divide { changes: vec![(holder, KEY, WHOLE)] }).unwrap();
+        world.state.apply(&BudgetCommand::Allocate { changes: vec![(holder, KEY, TOTAL)] }).unwrap();
         vec![world]
     }
 
@@ -202,7 +208,7 @@
             actions.push(Step::Time);
         }
         for front in 0..FRONTS as u8 {
-            actions.push(Step::Ask(front));
+            actions.push(Step::LeaseRequest(front));
             if world.old.is_some() {
                 actions.push(Step::AskOld(front));
             }
@@ -241,11 +247,11 @@
                         (place.content, place.part) = (0, 0);
                     } else if place.content < part {
                         place.content = part;
-                        world.refilled += part / (WHOLE / 2);
+                        world.refilled += part / (TOTAL / 2);
                     }
                 }
             }
-            Step::Ask(front) => {
+            Step::LeaseRequest(front) => {
                 let holder = world.holder(usize::from(front));
                 if world.leader.lapsing || world.answers.len() >= ANSWERS {
                     return None;
@@ -269,7 +275,7 @@
             Step::Deliver(answer) => {
                 // Doubled: it stays under way, and may come again.
                 let place = &mut world.fronts[usize::from(answer.to)];
-                if place.incarnation != answer.incarnation || answer.number < place.number {
+                if place.incarnation != answer.incarnation || answer.epoch < place.epoch {
                     return None;
                 }
                 let from = if self.wrong == Wrong::FromReceipt { world.now } else { answer.asked };
@@ -280,41 +286,44 @@
                 if self.wrong == Wrong::Refilled && answer.part > 0 {
                     place.content = answer.part;
                 }
-                (place.number, place.part, place.ends) = (answer.number, answer.part, place.ends.max(ends));
+                (place.epoch, place.part, place.ends) = (answer.epoch, answer.part, place.ends.max(ends));
                 place.content = place.content.min(answer.part);
             }
             Step::Move(to) => {
                 world.moves += 1;
                 let (to, from) = (world.holder(usize::from(to)), world.holder(1 - usize::from(to)));
-                let mut changes = vec![(to, KEY, WHOLE)];
-                if world.state.current(from).is_some() {
+                let mut changes = vec![(to, KEY, TOTAL)];
+                if world.state.current_holder(from).is_some() {
                     changes.insert(0, (from, KEY, 0));
                 }
-                world.state.apply(&Command::Divide { changes }).ok()?;
-                let run = world.state.account(from.front).and_then(|a| a.runs.get(&from.incarnation));
-                let share = run.and_then(|r| r.shares.get(&KEY)).copied();
+                world.state.apply(&BudgetCommand::Allocate { changes }).ok()?;
+                let run = world.state.account(from.front).and_then(|a| a.holders.get(&from.incarnation));
+                let share = run.and_then(|r| r.quotas.get(&KEY)).copied();
                 if let Some(share) = share.filter(|_| self.wrong == Wrong::SettledUnheard) {
-                    let settled = vec![Settled::Share { holder: from, key: KEY, number: share.number }];
-                    world.state.apply(&Command::Settle { settled }).ok()?;
+                    let reductions =
+                        vec![ConfirmedReduction::Quota { holder: from, budget: KEY, epoch: share.epoch }];
+                    world.state.apply(&BudgetCommand::ConfirmReductions { reductions }).ok()?;
                 }
             }
             Step::Settle(front) => {
-                // The holder says the number by which it spends; it says it at this very moment at the latest.
+                // The holder says the epoch by which it spends; it says it at this very moment at the latest.
                 let holder = world.holder(usize::from(front));
-                let run = world.state.account(holder.front)?.runs.get(&holder.incarnation)?;
-                let share = *run.shares.get(&KEY)?;
-                if world.fronts[usize::from(front)].number < share.number.0 || share.counted == share.told() {
+                let run = world.state.account(holder.front)?.holders.get(&holder.incarnation)?;
+                let share = *run.quotas.get(&KEY)?;
+                if world.fronts[usize::from(front)].epoch < share.epoch.0
+                    || share.committed == share.granted()
+                {
                     return None;
                 }
-                let settled = vec![Settled::Share { holder, key: KEY, number: share.number }];
-                world.state.apply(&Command::Settle { settled }).ok()?;
+                let reductions = vec![ConfirmedReduction::Quota { holder, budget: KEY, epoch: share.epoch }];
+                world.state.apply(&BudgetCommand::ConfirmReductions { reductions }).ok()?;
             }
             Step::Lapse(front) => {
                 let front_id = FrontId(u64::from(front) + 1);
                 let account = world.state.account(front_id)?;
-                let (incarnation, run) = account.runs.iter().find(|(_, r)| !r.shares.is_empty())?;
-                let holder = Holder { front: front_id, incarnation: *incarnation };
-                let number: Number = run.last;
+                let (incarnation, run) = account.holders.iter().find(|(_, r)| !r.quotas.is_empty())?;
+                let holder = HolderId { front: front_id, incarnation: *incarnation };
+                let epoch: Epoch = run.epoch;
                 let told = world.leader.answered.iter();
                 let told = told.filter(|(f, i, _)| (u64::from(*f), *i) == (front_id.0, incarnation.0));
                 let since = told.map(|(.., at)| *at).max().unwrap_or(0);
@@ -325,7 +334,7 @@
                 if world.now < since + OUTWAIT {
                     return None;
                 }
-                world.state.apply(&Command::Lapse { holder, number }).ok()?;
+                world.state.apply(&BudgetCommand::ExpireLease { holder, epoch }).ok()?;
             }
             Step::NewLeader => {
                 world.leaders += 1;
@@ -337,10 +346,9 @@
             Step::Restart(front) => {
                 world.restarts += 1;
                 let place = &mut world.fronts[usize::from(front)];
-                *place =
-                    Front { incarnation: place.incarnation + 1, part: 0, number: 0, ends: 0, content: 0 };
+                *place = Front { incarnation: place.incarnation + 1, part: 0, epoch: 0, ends: 0, content: 0 };
                 let holder = world.holder(usize::from(front));
-                world.state.apply(&Command::Join { holder }).ok()?;
+                world.state.apply(&BudgetCommand::Join { holder }).ok()?;
             }
             Step::Spend(front) => {
                 if world.in_force(usize::from(front)) == 0 {
@@ -357,15 +365,15 @@
         vec![
             Property::always("never above the whole", |_: &Leases, world: &World| {
                 let sum: u64 = (0..FRONTS).map(|f| u64::from(world.in_force(f))).sum();
-                sum <= u64::from(WHOLE)
+                sum <= u64::from(TOTAL)
             }),
             Property::always("never more than has come", |_: &Leases, world: &World| {
                 world.spent <= world.refilled
             }),
             Property::always("counted within the whole", |_: &Leases, world: &World| {
-                world.state.check().is_ok()
+                world.state.check_invariant().is_ok()
             }),
-            Property::sometimes("the other has it", |_: &Leases, world: &World| world.in_force(1) == WHOLE),
+            Property::sometimes("the other has it", |_: &Leases, world: &World| world.in_force(1) == TOTAL),
         ]
     }
 }
--- a/core/fleet/src/machine.rs
+++ b/core/fleet/src/machine.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use elmtide_budgets::state::Refused;
-use elmtide_budgets::{Command, FrontId, State};
+use elmtide_budgets::CommandRejected;
+use elmtide_budgets::{BudgetCommand, BudgetState, FrontId};
 use elmtide_consensus::{StateMachine, VoterId};
 use elmtide_work::JobId;
 use serde::{Deserialize, Serialize};
@@ -14,7 +14,7 @@
 /// One command of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Change {
-    Budgets(Command),
+    Budgets(BudgetCommand),
     /// A front's vote is that of this store.
     Seat {
         front: FrontId,
@@ -27,7 +27,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
     Done,
-    Refused(Refused),
+    Refused(CommandRejected),
     NoSeat,
     /// Of a job's command: the job, or why not.
     Work(Result<JobId, elmtide_work::Refused>),
@@ -36,7 +36,7 @@
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Agreed {
-    pub budgets: State,
+    pub budgets: BudgetState,
     pub seats: BTreeMap<FrontId, VoterId>,
     pub work: elmtide_work::State,
     pub sites: elmtide_sites::State,
@@ -44,11 +44,11 @@
 
 impl Agreed {
     /// Fronts that come and go are the same for all subsystems.
-    fn tell_work(&mut self, command: &Command) {
+    fn tell_work(&mut self, command: &BudgetCommand) {
         match command {
-            Command::Join { holder } => self.work.joined(*holder),
-            Command::Leave { holder } => self.work.left(*holder),
-            Command::Forget { front } => self.work.forgotten(*front),
+            BudgetCommand::Join { holder } => self.work.joined(*holder),
+            BudgetCommand::Leave { holder } => self.work.left(*holder),
+            BudgetCommand::RemoveFront { front } => self.work.forgotten(*front),
             _ => {}
         }
     }
--- a/core/fleet/src/member.rs
+++ b/core/fleet/src/member.rs
@@ -2,12 +2,12 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use elmtide_budgets::lessee::{Floors, Grant};
-use elmtide_budgets::state::FloorRule;
+use elmtide_budgets::MinimumRule;
 use elmtide_budgets::{
-    Clocks, Command, Demand, FrontId, Granter, Holder, Incarnation, Key, Kind, Lessee, Micros, Number, Parts,
-    State, Terms,
+    BudgetCommand, BudgetId, BudgetKind, BudgetState, Clocks, Demand, Epoch, FrontId, HolderId, Incarnation,
+    LeaseAllocator, LeaseHolder, LeaseSettings, Micros, PartsPerMillion,
 };
+use elmtide_budgets::{Grant, GuaranteedMinimums};
 use elmtide_consensus::records::{StorageUpdate, StoredLog};
 use elmtide_consensus::sessions::CommandStatus;
 use elmtide_consensus::voter::initial_snapshot;
@@ -54,8 +54,8 @@
 pub struct Settings {
     pub version: u64,
     pub fronts: Vec<Front>,
-    pub floors: Vec<(Kind, FloorRule)>,
-    pub terms: Terms,
+    pub floors: Vec<(BudgetKind, MinimumRule)>,
+    pub terms: LeaseSettings,
     pub tick: Micros,
     /// Machines that may be taken out for work, and the bounds; none where that is off.
     pub work: Option<(Vec<Spec>, Bounds)>,
@@ -81,7 +81,7 @@
     pub lasting: bool,
     pub voter: Option<VoterId>,
     pub stored: StoredLog,
-    pub floors: Floors,
+    pub floors: GuaranteedMinimums,
 }
 
 /// What the caller has to do.
@@ -98,7 +98,7 @@
     Stale,
     Spend(Grant),
     /// To be synced, then spent by; then [`Member::applied`].
-    Floors(Floors),
+    Floors(GuaranteedMinimums),
     /// What is kept off from now on.
     View(Told),
     /// Which sites are lost from now on.
@@ -134,7 +134,7 @@
         front: FrontId,
     },
     Granted {
-        number: Number,
+        number: Epoch,
         shares: usize,
     },
     Applied {
@@ -178,7 +178,7 @@
     probation: Option<u64>,
     /// Who has answered that no later run was seen.
     vouched: Vec<FrontId>,
-    granter: Option<(u64, Granter)>,
+    granter: Option<(u64, LeaseAllocator)>,
     conductor: Conductor,
     sites: elmtide_sites::Conductor,
     plan_at: u64,
@@ -197,9 +197,9 @@
     frames: Frames,
     peers: FailureDetector,
     seat: Seat,
-    lessee: Lessee,
-    wants: Vec<(Key, Demand)>,
-    applied: (Number, Number),
+    lessee: LeaseHolder,
+    wants: Vec<(BudgetId, Demand)>,
+    applied: (Epoch, Epoch),
     ticks: u64,
     tick_at: Micros,
     next_ask: Micros,
@@ -250,8 +250,8 @@
     pub log: u64,
     pub applied: u64,
     /// What the state says of every run, where there is one here: counted and told by budget.
-    pub shares: Vec<(Holder, Key, Parts, Parts)>,
-    pub floors: Vec<(FrontId, Kind, Parts, Parts)>,
+    pub shares: Vec<(HolderId, BudgetId, PartsPerMillion, PartsPerMillion)>,
+    pub floors: Vec<(FrontId, BudgetKind, PartsPerMillion, PartsPerMillion)>,
 }
 
 impl Member {
@@ -264,10 +264,10 @@
         let peer = PeerIdentity { front: me.0, incarnation: kept.incarnation, renewal: 0, site: own.site };
         let pace = ProbeSettings { period: settings.tick * 20, fronts: settings.fronts.len() };
         let listed: Vec<u64> = ids().map(|f| f.0).collect();
-        let peers = FailureDetector::new(peer, pace, &listed, seed, now.steady);
-        let holder = Holder { front: me, incarnation: Incarnation(kept.incarnation) };
-        let floors = if kept.lasting { kept.floors.clone() } else { Floors::default() };
-        let lessee = Lessee::new(holder, settings.terms, seed | 1, floors.number);
+        let peers = FailureDetector::new(peer, pace, &listed, seed, now.monotonic);
+        let holder = HolderId { front: me, incarnation: Incarnation(kept.incarnation) };
+        let floors = if kept.lasting { kept.floors.clone() } else { GuaranteedMinimums::default() };
+        let lessee = LeaseHolder::new(holder, settings.terms, seed | 1, floors.epoch);
         let seat = match (own.votes && kept.lasting, kept.voter) {
             (false, _) => Seat::None,
             (true, Some(id)) => Seat::Sitting(Sitting::new(id, kept.stored)?),
@@ -280,10 +280,10 @@
             seat,
             lessee,
             wants: Vec::new(),
-            applied: (Number(0), floors.number),
+            applied: (Epoch(0), floors.epoch),
             ticks: 0,
-            tick_at: now.steady,
-            next_ask: now.steady,
+            tick_at: now.monotonic,
+            next_ask: now.monotonic,
             leader: None,
             turn: (seed % 97) as usize,
             asked: None,
@@ -310,14 +310,14 @@
         if let Seat::Numbering(id) = member.seat {
             member.out.push_back(Output::Number(id));
         }
-        if !floors.parts.is_empty() {
+        if !floors.minimums.is_empty() {
             member.out.push_back(Output::Floors(floors));
         }
         Ok(member)
     }
 
-    pub fn holder(&self) -> Holder {
-        self.lessee.holder()
+    pub fn holder(&self) -> HolderId {
+        self.lessee.id()
     }
 
     /// What is to be done, in order. Nothing of the log follows a `Sync` or `Number` before it was synced.
@@ -331,7 +331,7 @@
     }
 
     /// What the front wants, from now on.
-    pub fn wants(&mut self, wants: Vec<(Key, Demand)>) {
+    pub fn wants(&mut self, wants: Vec<(BudgetId, Demand)>) {
         self.wants = wants;
     }
 
@@ -341,8 +341,8 @@
             || said.clear.len() > self.said.clear.len()
             || said.looks != self.said.looks
         {
-            let soon = self.asked.map_or(now.steady, |at| at + self.settings.tick / 2);
-            self.next_ask = self.next_ask.min(soon.max(now.steady));
+            let soon = self.asked.map_or(now.monotonic, |at| at + self.settings.tick / 2);
+            self.next_ask = self.next_ask.min(soon.max(now.monotonic));
         }
         self.said = said;
     }
@@ -350,8 +350,8 @@
     /// What the front says of sites, from now on. Other words, and that it has seen another view, are said at once.
     pub fn says_of_sites(&mut self, said: elmtide_sites::Said, now: Clocks) {
         if said.words != self.says_of_sites.words || said.seen != self.says_of_sites.seen {
-            let soon = self.asked.map_or(now.steady, |at| at + self.settings.tick / 2);
-            self.next_ask = self.next_ask.min(soon.max(now.steady));
+            let soon = self.asked.map_or(now.monotonic, |at| at + self.settings.tick / 2);
+            self.next_ask = self.next_ask.min(soon.max(now.monotonic));
         }
         self.says_of_sites = said;
     }
@@ -377,12 +377,12 @@
     }
 
     /// The spender uses no more than what it was told by these numbers. A change is said at once: others wait for it.
-    pub fn applied(&mut self, number: Number, floors: Number, now: Clocks) {
+    pub fn applied(&mut self, number: Epoch, floors: Epoch, now: Clocks) {
         if (number, floors) != self.applied {
             self.applied = (number, floors);
-            self.lessee.spends_by(number);
-            self.lessee.floors_kept(floors);
-            self.next_ask = self.next_ask.min(now.steady);
+            self.lessee.confirm_quotas(number);
+            self.lessee.confirm_minimums(floors);
+            self.next_ask = self.next_ask.min(now.monotonic);
         }
     }
 
@@ -455,7 +455,7 @@
         if self.leads() {
             if let Seat::Sitting(sitting) = &mut self.seat {
                 if let Some((_, granter)) = &mut sitting.granter {
-                    if let Some(round) = granter.round() {
+                    if let Some(round) = granter.begin_read() {
                         sitting.voter.read_index(round);
                     }
                 }
@@ -468,9 +468,9 @@
     pub fn leave(&mut self, now: Clocks) {
         if !self.leaving {
             self.leaving = true;
-            self.peers.leave(now.steady);
-            let holder = self.lessee.holder();
-            self.submit(Change::Budgets(Command::Leave { holder }), now);
+            self.peers.leave(now.monotonic);
+            let holder = self.lessee.id();
+            self.submit(Change::Budgets(BudgetCommand::Leave { holder }), now);
         }
     }
 
@@ -482,11 +482,8 @@
     pub fn submit(&mut self, change: Change, now: Clocks) {
         self.tag = None;
         self.seq += 1;
-        let id = CommandId {
-            client: self.me.0,
-            incarnation: self.lessee.holder().incarnation.0,
-            sequence: self.seq,
-        };
+        let id =
+            CommandId { client: self.me.0, incarnation: self.lessee.id().incarnation.0, sequence: self.seq };
         self.submitted = Some((id, change, self.ticks));
         self.send_submitted(now);
     }
@@ -528,7 +525,7 @@
         }
         match word {
             Word::Peers(bytes) => {
-                self.peers.on_datagram(&bytes, now.steady);
+                self.peers.on_datagram(&bytes, now.monotonic);
                 self.peers_out();
             }
             Word::Hello(hello) => self.on_hello(from, hello, now),
@@ -556,14 +553,14 @@
             Word::Elsewhere(leader) => {
                 if self.leader == Some(from) {
                     self.leader = leader.filter(|l| *l != self.me);
-                    self.next_ask = self.next_ask.min(now.steady + self.settings.tick);
+                    self.next_ask = self.next_ask.min(now.monotonic + self.settings.tick);
                 }
             }
             Word::Poke => {
                 // However often it is said, it is not asked more often than each half tick.
-                let soon = self.asked.map_or(now.steady, |at| at + self.settings.tick / 2);
+                let soon = self.asked.map_or(now.monotonic, |at| at + self.settings.tick / 2);
                 self.leader = Some(from);
-                self.next_ask = self.next_ask.min(soon.max(now.steady));
+                self.next_ask = self.next_ask.min(soon.max(now.monotonic));
             }
             Word::Submit(id, change) => self.on_submit(from, id, change, now),
             Word::Here => {}
@@ -573,21 +570,21 @@
 
     /// Lets time pass.
     pub fn pass(&mut self, now: Clocks) {
-        self.peers.advance_time(now.steady);
+        self.peers.advance_time(now.monotonic);
         self.peers_out();
         let mut turns = 0;
-        while now.steady >= self.tick_at && turns < 3 {
+        while now.monotonic >= self.tick_at && turns < 3 {
             turns += 1;
             self.tick_at += self.settings.tick;
             self.tick(now);
         }
         // After a stall the ticks that were missed are not made up for: others' time-outs have passed, ours have not.
-        self.tick_at = self.tick_at.max(now.steady.saturating_sub(self.settings.tick));
-        if now.steady >= self.next_ask {
+        self.tick_at = self.tick_at.max(now.monotonic.saturating_sub(self.settings.tick));
+        if now.monotonic >= self.next_ask {
             self.ask(now);
         }
-        let age = self.lessee.last_answer().map(|at| now.steady.saturating_sub(at));
-        let contact = age.is_some_and(|age| age <= self.settings.terms.lease);
+        let age = self.lessee.last_renewal().map(|at| now.monotonic.saturating_sub(at));
+        let contact = age.is_some_and(|age| age <= self.settings.terms.duration);
         if contact != self.contact {
             self.contact = contact;
             self.out.push_back(Output::Event(if contact { Event::Contact } else { Event::ContactLost }));
@@ -653,11 +650,11 @@
     }
 
     fn list_change(&self) -> Change {
-        Change::Budgets(Command::List {
+        Change::Budgets(BudgetCommand::UpdateFronts {
             version: self.settings.version,
             fronts: self.settings.fronts.iter().map(|f| f.id).collect(),
-            floors: self.settings.floors.clone(),
-            lease: self.settings.terms.lease,
+            minimums: self.settings.floors.clone(),
+            lease: self.settings.terms.duration,
         })
     }
 
@@ -700,7 +697,7 @@
             _ => (None, false, false),
         };
         let agreed = match &self.seat {
-            Seat::Sitting(s) => s.voter.machine().budgets.account(to).map_or(0, |a| a.newest.0),
+            Seat::Sitting(s) => s.voter.machine().budgets.account(to).map_or(0, |a| a.latest_incarnation.0),
             _ => 0,
         };
         Hello { voter, begun, seen: self.frames.seen(to).max(agreed), asks }
@@ -715,7 +712,7 @@
     }
 
     fn on_hello(&mut self, from: FrontId, hello: Hello, now: Clocks) {
-        let mine = self.lessee.holder().incarnation.0;
+        let mine = self.lessee.id().incarnation.0;
         if hello.seen > mine {
             // Another run of this front is, or was, later than this one: its store is the later one as well.
             if !matches!(self.seat, Seat::Lost) {
@@ -834,7 +831,7 @@
                 if let (Some((_, granter)), Change::Budgets(command)) =
                     (&mut sitting.granter, &applied.command)
                 {
-                    granter.ended(command);
+                    granter.on_command_ended(command);
                 }
                 if let Some(id) = applied.id {
                     let place = (id.client, id.incarnation, id.sequence);
@@ -849,12 +846,13 @@
                 let state = &sitting.voter.machine().budgets;
                 let wall = now.wall / 1000;
                 for round in done.acknowledged_reads {
-                    let with_view = granter.confirmed(state, round, now.steady).into_iter().map(|answer| {
-                        let agreed = sitting.voter.machine();
-                        let work = sitting.conductor.view(&agreed.work, answer.holder, wall);
-                        let sites = sitting.sites.view(&agreed.sites, answer.holder.front);
-                        (answer, Views { work, sites })
-                    });
+                    let with_view =
+                        granter.on_read_acknowledged(state, round, now.monotonic).into_iter().map(|answer| {
+                            let agreed = sitting.voter.machine();
+                            let work = sitting.conductor.view(&agreed.work, answer.holder, wall);
+                            let sites = sitting.sites.view(&agreed.sites, answer.holder.front);
+                            (answer, Views { work, sites })
+                        });
                     answers.extend(with_view);
                 }
             }
@@ -896,7 +894,7 @@
             _ => {}
         }
         if leads && sitting.granter.is_none() {
-            sitting.granter = Some((term, Granter::new(terms, now.steady)));
+            sitting.granter = Some((term, LeaseAllocator::new(terms, now.monotonic)));
             sitting.conductor = Conductor::new();
             sitting.sites = elmtide_sites::Conductor::default();
             self.out.push_back(Output::Event(Event::Leads { term }));
@@ -931,20 +929,22 @@
         }
         let state = &voter.machine().budgets;
         let mut changes = Vec::new();
-        if state.version() < version {
+        if state.front_list_version() < version {
             changes.push(list);
         }
         let work = &voter.machine().work;
-        changes.extend(layout.filter(|_| state.version() >= version && work.version() < version));
+        changes.extend(layout.filter(|_| state.front_list_version() >= version && work.version() < version));
         let sites = &voter.machine().sites;
-        changes.extend(sites_layout.filter(|_| state.version() >= version && sites.version() < version));
+        changes.extend(
+            sites_layout.filter(|_| state.front_list_version() >= version && sites.version() < version),
+        );
         // What is under way is waited for: it would only be proposed again.
         let idle = voter.is_idle();
-        let proposals = if idle { granter.propose(state, now.steady) } else { Vec::new() };
+        let proposals = if idle { granter.propose(state, now.monotonic) } else { Vec::new() };
         let mut hand_over = false;
         if idle && work.version() > 0 {
-            let over_at = |holder| granter.over_at(holder, state) + terms.longest + WRITTEN;
-            let (steady, wall, lease) = (now.steady, now.wall / 1000, state.leases().0);
+            let over_at = |holder| granter.lease_expiry(holder, state) + terms.max_request_deadline + WRITTEN;
+            let (steady, wall, lease) = (now.monotonic, now.wall / 1000, state.lease());
             let planned =
                 sitting.conductor.propose(work, &Now { steady, wall, lease, me, over_at: &over_at });
             changes.extend(planned.commands.into_iter().map(Change::Work));
@@ -952,9 +952,9 @@
         }
         if let Some(rules) = rules.filter(|_| idle && sites.version() > 0) {
             let at = elmtide_sites::conductor::Now {
-                steady: now.steady,
+                steady: now.monotonic,
                 wall: now.wall / 1000,
-                lease: state.leases().0,
+                lease: state.lease(),
             };
             changes.extend(sitting.sites.propose(sites, &rules, &at).into_iter().map(Change::Sites));
         }
@@ -972,11 +972,11 @@
                 _ if sits => {}
                 Some(old) if current.incoming.contains(old) => replace = Some((front, vec![id], vec![*old])),
                 // A front that newly votes: only where the agreed list is the one of this file.
-                None if state.version() == version => replace = Some((front, vec![id], vec![])),
+                None if state.front_list_version() == version => replace = Some((front, vec![id], vec![])),
                 _ => {}
             }
         }
-        if replace.is_none() && state.version() == version {
+        if replace.is_none() && state.front_list_version() == version {
             let out = agreed.iter().find(|(f, id)| !configured.contains(f) && current.incoming.contains(id));
             replace = out.map(|(front, id)| (*front, vec![], vec![*id]));
         }
@@ -985,7 +985,7 @@
         }
         for command in proposals {
             if voter.propose(None, &Change::Budgets(command.clone())).is_err() {
-                granter.ended(&command);
+                granter.on_command_ended(&command);
             }
         }
         if let Some((front, add, remove)) = replace {
@@ -993,10 +993,10 @@
                 self.out.push_back(Output::Event(Event::VoterReplaced { front }));
             }
         }
-        if let Some(round) = granter.round() {
+        if let Some(round) = granter.begin_read() {
             voter.read_index(round);
         }
-        let mut pokes = granter.pokes(&voter.machine().budgets);
+        let mut pokes = granter.holders_to_notify(&voter.machine().budgets);
         if voter.machine().work.version() > 0 {
             let more = sitting.conductor.pokes(&voter.machine().work);
             pokes.extend(more);
@@ -1009,7 +1009,7 @@
         }
         for holder in pokes {
             match holder.front == me {
-                true => self.next_ask = self.next_ask.min(now.steady),
+                true => self.next_ask = self.next_ask.min(now.monotonic),
                 false => self.say(holder.front, &Word::Poke),
             }
         }
@@ -1029,7 +1029,7 @@
         self.ids.iter().find(|(_, (id, _))| *id == leader).map(|(front, _)| *front)
     }
 
-    fn on_ask(&mut self, from: FrontId, ask: elmtide_budgets::granter::Ask, aside: Aside, now: Clocks) {
+    fn on_ask(&mut self, from: FrontId, ask: elmtide_budgets::LeaseRequest, aside: Aside, now: Clocks) {
         // A front asks for itself alone.
         if ask.holder.front != from {
             return;
@@ -1042,14 +1042,16 @@
             if let Some((_, granter)) = &mut sitting.granter {
                 let machine = sitting.voter.machine();
                 if let Some(said) = aside.work {
-                    sitting.conductor.on_said(&machine.work, ask.holder, said, now.steady);
+                    sitting.conductor.on_said(&machine.work, ask.holder, said, now.monotonic);
                 }
-                if let Some(said) = aside.sites.filter(|_| machine.budgets.current(ask.holder).is_some()) {
-                    sitting.sites.on_said(ask.holder, said, now.steady);
+                if let Some(said) =
+                    aside.sites.filter(|_| machine.budgets.current_holder(ask.holder).is_some())
+                {
+                    sitting.sites.on_said(ask.holder, said, now.monotonic);
                 }
-                granter.on_ask(&machine.budgets, ask, now.steady);
+                granter.on_request(&machine.budgets, ask, now.monotonic);
                 if sitting.syncing.is_none() {
-                    if let Some(round) = granter.round() {
+                    if let Some(round) = granter.begin_read() {
                         sitting.voter.read_index(round);
                     }
                 }
@@ -1119,9 +1121,9 @@
             return;
         }
         let what = match change {
-            Change::Budgets(Command::List { .. }) => "list",
-            Change::Budgets(Command::Leave { .. }) => "leave",
-            Change::Budgets(Command::Forget { .. }) => "forget",
+            Change::Budgets(BudgetCommand::UpdateFronts { .. }) => "list",
+            Change::Budgets(BudgetCommand::Leave { .. }) => "leave",
+            Change::Budgets(BudgetCommand::RemoveFront { .. }) => "forget",
             Change::Work(elmtide_work::Command::Layout { .. })
             | Change::Sites(elmtide_sites::Command::Layout { .. }) => "layout",
             _ => "command",
@@ -1155,23 +1157,24 @@
     }
 
     fn ask(&mut self, now: Clocks) {
-        let every = self.settings.terms.ask_every();
-        self.next_ask = now.steady + every;
+        let every = self.settings.terms.renewal_interval();
+        self.next_ask = now.monotonic + every;
         if self.leaving {
             return;
         }
         // An ask that had no answer goes to the next voter; while there is none, more often.
-        let answered = self.lessee.last_answer().is_some_and(|at| now.steady.saturating_sub(at) <= 2 * every);
+        let answered =
+            self.lessee.last_renewal().is_some_and(|at| now.monotonic.saturating_sub(at) <= 2 * every);
         if !answered {
             self.leader = None;
             self.turn = self.turn.wrapping_add(1);
             // Fronts that all lost the same leader do not ask the next one in the same moment.
             let part = mix(self.seed ^ self.turn as u64) % 1000;
-            self.next_ask = now.steady + (every / 2 * (500 + part / 2) / 1000).max(1);
+            self.next_ask = now.monotonic + (every / 2 * (500 + part / 2) / 1000).max(1);
         }
         let Some(to) = self.whom() else { return };
-        self.asked = Some(now.steady);
-        let ask = self.lessee.ask(&self.wants, now);
+        self.asked = Some(now.monotonic);
+        let ask = self.lessee.request(&self.wants, now);
         let aside = Aside {
             work: self.settings.work.as_ref().map(|_| self.said.clone()),
             sites: self.settings.sites.as_ref().map(|_| self.says_of_sites.clone()),
@@ -1185,15 +1188,16 @@
     fn on_answer(
         &mut self,
         from: FrontId,
-        answer: elmtide_budgets::granter::Answer,
+        answer: elmtide_budgets::LeaseResponse,
         views: Views,
         now: Clocks,
     ) {
         if self.leaving {
             return;
         }
-        let list = answer.list;
-        let (grant, floors) = self.lessee.on_answer(&answer, now);
+        let list = answer.front_list_version;
+        let elmtide_budgets::lease_holder::Renewal { grant, minimums: floors } =
+            self.lessee.on_response(&answer, now);
         if grant.is_some() {
             if from != self.me {
                 self.leader = Some(from);
@@ -1204,18 +1208,22 @@
             }
         }
         if let Some(grant) = grant {
-            if grant.number > self.applied.0 {
-                let event = Event::Granted { number: grant.number, shares: grant.shares.len() };
+            if grant.epoch > self.applied.0 {
+                let event = Event::Granted { number: grant.epoch, shares: grant.quotas.len() };
                 self.out.push_back(Output::Event(event));
             }
             if let Some(view) = views.sites {
                 self.sites_layout = view.version;
-                let (asked, ends) = (grant.asked, grant.ends);
+                let (asked, ends) = (grant.requested_at, grant.expires_at);
                 self.out.push_back(Output::Sites(elmtide_sites::Told { view, asked, ends }));
             }
             if let Some(view) = views.work {
                 self.layout = view.version;
-                self.out.push_back(Output::View(Told { view, asked: grant.asked, ends: grant.ends }));
+                self.out.push_back(Output::View(Told {
+                    view,
+                    asked: grant.requested_at,
+                    ends: grant.expires_at,
+                }));
             }
             self.out.push_back(Output::Spend(grant));
         }
@@ -1226,7 +1234,7 @@
 
     // ---- For those who look ----
 
-    pub fn state(&self) -> Option<&State> {
+    pub fn state(&self) -> Option<&BudgetState> {
         match &self.seat {
             Seat::Sitting(sitting) => Some(&sitting.voter.machine().budgets),
             _ => None,
@@ -1290,22 +1298,24 @@
         let mut shares = Vec::new();
         let mut floors = Vec::new();
         if let Some(state) = self.state() {
-            for (holder, run, _) in state.runs() {
-                let told = run.shares.iter().map(|(key, s)| (holder, *key, s.counted, s.told()));
+            for elmtide_budgets::state::HolderEntry { id: holder, state: run, .. } in state.holders() {
+                let told = run.quotas.iter().map(|(key, s)| (holder, *key, s.committed, s.granted()));
                 shares.extend(told);
             }
             for (front, account) in state.accounts() {
-                floors.extend(account.floors.iter().map(|(kind, f)| (*front, *kind, f.counted, f.told())));
+                floors.extend(
+                    account.minimums.iter().map(|(kind, f)| (*front, *kind, f.committed, f.granted())),
+                );
             }
         }
         let view = self.view();
         Status {
             front: self.me,
-            incarnation: self.lessee.holder().incarnation.0,
+            incarnation: self.lessee.id().incarnation.0,
             role,
             term,
             leader: if self.leads() { Some(self.me) } else { self.leader_front() },
-            answer_age: self.lessee.last_answer().map(|at| now.steady.saturating_sub(at)),
+            answer_age: self.lessee.last_renewal().map(|at| now.monotonic.saturating_sub(at)),
             contact: self.contact,
             list: self.list,
             file: self.settings.version,
--- a/core/fleet/src/word.rs
+++ b/core/fleet/src/word.rs
@@ -1,7 +1,7 @@
 //! What members say to each other.
 
-use elmtide_budgets::granter::{Answer, Ask};
 use elmtide_budgets::FrontId;
+use elmtide_budgets::{LeaseRequest, LeaseResponse};
 use elmtide_consensus::{CommandId, Message, VoterId};
 use elmtide_work::{Said, View};
 use serde::{Deserialize, Serialize};
@@ -27,8 +27,8 @@
     Peers(Vec<u8>),
     Hello(Hello),
     Raft(Box<Message>),
-    Ask(Ask),
-    Answer(Answer),
+    Ask(LeaseRequest),
+    Answer(LeaseResponse),
     /// Not the leader; who is, as far as it is known here.
     Elsewhere(Option<FrontId>),
     /// Something has changed for this front: it should ask now.
@@ -36,11 +36,11 @@
     Submit(CommandId, Change),
     Told(CommandId, Outcome),
     /// An ask and an answer where machines go out for work.
-    AskWork(Ask, Said),
-    AnswerWork(Answer, View),
+    AskWork(LeaseRequest, Said),
+    AnswerWork(LeaseResponse, View),
     /// An ask and an answer where sites are watched, and machines may go out for work as well.
-    AskSites(Ask, Option<Said>, elmtide_sites::Said),
-    AnswerSites(Answer, Option<View>, elmtide_sites::View),
+    AskSites(LeaseRequest, Option<Said>, elmtide_sites::Said),
+    AnswerSites(LeaseResponse, Option<View>, elmtide_sites::View),
     /// It is there: said to fronts of other sites.
     Here,
 }
@@ -53,7 +53,7 @@
 }
 
 impl Aside {
-    pub fn ask(self, ask: Ask) -> Word {
+    pub fn ask(self, ask: LeaseRequest) -> Word {
         match self {
             Aside { work, sites: Some(sites) } => Word::AskSites(ask, work, sites),
             Aside { work: Some(work), sites: None } => Word::AskWork(ask, work),
@@ -70,7 +70,7 @@
 }
 
 impl Views {
-    pub fn answer(self, answer: Answer) -> Word {
+    pub fn answer(self, answer: LeaseResponse) -> Word {
         match self {
             Views { work, sites: Some(sites) } => Word::AnswerSites(answer, work, sites),
             Views { work: Some(work), sites: None } => Word::AnswerWork(answer, work),
--- a/core/fleet/tests/golden.rs
+++ b/core/fleet/tests/golden.rs
@@ -1,8 +1,8 @@
 //! Encodings that members send each other, and of the state that they agree on.
 
-use elmtide_budgets::granter::{Answer, Ask};
-use elmtide_budgets::state::{FloorRule, Refused, Settled};
-use elmtide_budgets::{Command, Demand, FrontId, Holder, Incarnation, Key, Kind, Number};
+use elmtide_budgets::{BudgetCommand, BudgetId, BudgetKind, Demand, Epoch, FrontId, HolderId, Incarnation};
+use elmtide_budgets::{CommandRejected, ConfirmedReduction, MinimumRule};
+use elmtide_budgets::{LeaseRequest, LeaseResponse};
 use elmtide_consensus::message::{Message, MessageKind};
 use elmtide_consensus::{CommandId, StateMachine, VoterId};
 use elmtide_fleet::frame::Frames;
@@ -21,41 +21,47 @@
     GoldenFile::new(format!("{}/tests/golden/{name}", env!("CARGO_MANIFEST_DIR")))
 }
 
-fn holder(front: u64) -> Holder {
-    Holder { front: FrontId(front), incarnation: Incarnation(3) }
+fn holder(front: u64) -> HolderId {
+    HolderId { front: FrontId(front), incarnation: Incarnation(3) }
 }
 
-fn key(kind: Kind) -> Key {
-    Key { kind, id: 77 }
+fn key(kind: BudgetKind) -> BudgetId {
+    BudgetId { kind, resource: 77 }
 }
 
 fn machine(n: u64) -> MachineId {
     MachineId::of(&format!("m{n}"))
 }
 
-fn ask() -> Ask {
-    let demand = Demand { high: 5, low: 600_000, least: 1000, fills_ms: 250 };
-    let wants = Kind::ALL.into_iter().map(|kind| (key(kind), demand)).collect();
-    Ask { holder: holder(1), ask: 99, seen: Number(12), floors_seen: Number(4), wants }
+fn ask() -> LeaseRequest {
+    let demand = Demand { high: 5, low: 600_000, unit: 1000, refill_ms: 250 };
+    let wants = BudgetKind::ALL.into_iter().map(|kind| (key(kind), demand)).collect();
+    LeaseRequest {
+        holder: holder(1),
+        request_id: 99,
+        quota_epoch: Epoch(12),
+        minimums_epoch: Epoch(4),
+        demands: wants,
+    }
 }
 
-fn answer() -> Answer {
-    Answer {
+fn answer() -> LeaseResponse {
+    LeaseResponse {
         holder: holder(1),
-        ask: 99,
-        number: Number(13),
-        shares: vec![(key(Kind::Retries), 250_000), (key(Kind::Origin), 1)],
-        floors_number: Number(5),
-        floors: vec![(Kind::ShopRate, 10_000)],
-        lease: 3_000_000,
-        list: 8,
+        request_id: 99,
+        epoch: Epoch(13),
+        quotas: vec![(key(BudgetKind::Retries), 250_000), (key(BudgetKind::OriginFetches), 1)],
+        minimums_epoch: Epoch(5),
+        minimums: vec![(BudgetKind::ShopRate, 10_000)],
+        duration: 3_000_000,
+        front_list_version: 8,
     }
 }
 
 fn work_said() -> Said {
     let sight = |looks, work| Sight { looks, born: 1_700_000_000_000, warm: 40, load: 900, work };
     Said {
-        seen: Some(Number(6)),
+        seen: Some(Epoch(6)),
         clear: vec![machine(1)],
         sights: vec![
             (machine(1), sight(Looks::Ready, Work::NoneSent)),
@@ -72,7 +78,7 @@
     Way {
         job: JobId(2),
         stage,
-        number: Number(6),
+        number: Epoch(6),
         began: 1000,
         since: 2000,
         permit: 4,
@@ -138,7 +144,7 @@
         at: Some("127.0.0.1:9000".parse().unwrap()),
         stage,
     });
-    View { number: Number(6), version: 3, placed: Some(placed.collect()), details: Some(Box::new(details)) }
+    View { number: Epoch(6), version: 3, placed: Some(placed.collect()), details: Some(Box::new(details)) }
 }
 
 fn site_words() -> Vec<(SiteId, SiteWord)> {
@@ -189,7 +195,7 @@
         ("answer", Word::Answer(answer())),
         ("elsewhere", Word::Elsewhere(Some(FrontId(3)))),
         ("poke", Word::Poke),
-        ("submit", Word::Submit(id, Change::Budgets(Command::Leave { holder: holder(1) }))),
+        ("submit", Word::Submit(id, Change::Budgets(BudgetCommand::Leave { holder: holder(1) }))),
         ("told", Word::Told(id, Outcome::Done)),
         ("ask_work", Word::AskWork(ask(), work_said())),
         ("answer_work", Word::AnswerWork(answer(), work_view())),
@@ -229,25 +235,34 @@
     file.check();
 }
 
-fn budget_commands() -> Vec<Command> {
-    let rule = FloorRule { parts: 200_000, least: 10_000 };
-    let floors = vec![(Kind::Retries, rule), (Kind::ShopRate, rule)];
-    let share = |front, parts| (holder(front), key(Kind::Retries), parts);
+fn budget_commands() -> Vec<BudgetCommand> {
+    let rule = MinimumRule { set_aside: 200_000, unit: 10_000 };
+    let floors = vec![(BudgetKind::Retries, rule), (BudgetKind::ShopRate, rule)];
+    let share = |front, parts| (holder(front), key(BudgetKind::Retries), parts);
     vec![
-        Command::List { version: 1, fronts: vec![FrontId(1), FrontId(2)], floors, lease: 3_000_000 },
-        Command::Join { holder: holder(1) },
-        Command::Join { holder: holder(2) },
-        Command::Divide { changes: vec![share(1, 500_000), share(2, 200_000)] },
-        Command::Divide { changes: vec![share(1, 300_000)] },
-        Command::Settle {
-            settled: vec![
-                Settled::Share { holder: holder(1), key: key(Kind::Retries), number: Number(1) },
-                Settled::Floor { front: FrontId(1), kind: Kind::Retries, number: Number(2) },
+        BudgetCommand::UpdateFronts {
+            version: 1,
+            fronts: vec![FrontId(1), FrontId(2)],
+            minimums: floors,
+            lease: 3_000_000,
+        },
+        BudgetCommand::Join { holder: holder(1) },
+        BudgetCommand::Join { holder: holder(2) },
+        BudgetCommand::Allocate { changes: vec![share(1, 500_000), share(2, 200_000)] },
+        BudgetCommand::Allocate { changes: vec![share(1, 300_000)] },
+        BudgetCommand::ConfirmReductions {
+            reductions: vec![
+                ConfirmedReduction::Quota {
+                    holder: holder(1),
+                    budget: key(BudgetKind::Retries),
+                    epoch: Epoch(1),
+                },
+                ConfirmedReduction::Minimum { front: FrontId(1), kind: BudgetKind::Retries, epoch: Epoch(2) },
             ],
         },
-        Command::Lapse { holder: holder(2), number: Number(5) },
-        Command::Leave { holder: holder(2) },
-        Command::Forget { front: FrontId(9) },
+        BudgetCommand::ExpireLease { holder: holder(2), epoch: Epoch(5) },
+        BudgetCommand::Leave { holder: holder(2) },
+        BudgetCommand::RemoveFront { front: FrontId(9) },
     ]
 }
 
@@ -280,7 +295,7 @@
 fn work_commands() -> Vec<elmtide_work::Command> {
     use elmtide_work::Command;
     let job = JobId(1);
-    let step = |number, step| Command::Step { machine: machine(1), number: Number(number), step, at: 2000 };
+    let step = |number, step| Command::Step { machine: machine(1), number: Epoch(number), step, at: 2000 };
     vec![
         Command::Layout { version: 1, machines: specs(), bounds: bounds() },
         Command::Out {
@@ -294,7 +309,7 @@
         Command::GoOn { job },
         Command::Reorder { job, first: vec![machine(2)] },
         step(0, Step::Next),
-        Command::Seen { fronts: vec![(holder(1), Number(1)), (holder(2), Number(1))] },
+        Command::Seen { fronts: vec![(holder(1), Epoch(1)), (holder(2), Epoch(1))] },
         Command::Off { front: FrontId(2) },
         step(1, Step::Leave),
         step(2, Step::Empty),
@@ -366,13 +381,13 @@
 fn outcomes_keep_their_encoding() {
     let mut file = golden("outcomes.txt");
     let refused = [
-        Refused::OldList,
-        Refused::TooMany,
-        Refused::OverWhole,
-        Refused::NotListed,
-        Refused::Superseded,
-        Refused::Changed,
-        Refused::StillListed,
+        CommandRejected::StaleFrontList,
+        CommandRejected::LimitExceeded,
+        CommandRejected::ExceedsTotal,
+        CommandRejected::UnknownFront,
+        CommandRejected::Superseded,
+        CommandRejected::StaleEpoch,
+        CommandRejected::FrontStillListed,
     ];
     for (place, refused) in refused.into_iter().enumerate() {
         file.value(&format!("budgets_{place}"), &Outcome::Refused(refused));
--- a/core/sites/src/conductor.rs
+++ b/core/sites/src/conductor.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeMap;
 
-use elmtide_budgets::{FrontId, Holder, Micros};
+use elmtide_budgets::{FrontId, HolderId, Micros};
 
 use crate::state::{Command, SiteId, Standing, State, SITES};
 use crate::view::{Said, Since, View};
@@ -35,11 +35,11 @@
 
 #[derive(Clone, Debug, Default)]
 pub struct Conductor {
-    said: BTreeMap<FrontId, (Holder, Micros, Said)>,
+    said: BTreeMap<FrontId, (HolderId, Micros, Said)>,
 }
 
 impl Conductor {
-    pub fn on_said(&mut self, holder: Holder, mut said: Said, now: Micros) {
+    pub fn on_said(&mut self, holder: HolderId, mut said: Said, now: Micros) {
         said.words.truncate(SITES);
         let later = self.said.get(&holder.front).is_some_and(|(h, ..)| h.incarnation > holder.incarnation);
         if !later && (self.said.len() < FRONTS || self.said.contains_key(&holder.front)) {
@@ -56,7 +56,7 @@
     }
 
     /// Fronts that decide by an older view.
-    pub fn behind<'a>(&'a self, state: &'a State) -> impl Iterator<Item = Holder> + 'a {
+    pub fn behind<'a>(&'a self, state: &'a State) -> impl Iterator<Item = HolderId> + 'a {
         let number = state.number();
         let behind =
             self.said.values().filter(move |(_, _, said)| said.seen.is_some_and(|seen| seen < number));
--- a/core/sites/src/view.rs
+++ b/core/sites/src/view.rs
@@ -3,7 +3,7 @@
 //! **Invariant: a front takes a signup of a key that it owns only while its lease on a view is in force, by the clocks of that moment; and one
 //! whose owner's site is lost only after every lease that the owner could have had is over, and a key's life besides.**
 
-use elmtide_budgets::{Clocks, Micros, Terms};
+use elmtide_budgets::{Clocks, LeaseSettings, Micros};
 use serde::{Deserialize, Serialize};
 
 use crate::state::{SiteId, Standing};
@@ -74,16 +74,18 @@
             return false;
         }
         self.view = Some(told.view);
-        if self.lease.is_none_or(|(before, _)| told.asked.steady >= before.steady) {
+        if self.lease.is_none_or(|(before, _)| told.asked.monotonic >= before.monotonic) {
             self.lease = Some((told.asked, told.ends));
         }
         true
     }
 
     /// Whether the lease is in force at this moment, by both clocks.
-    pub fn is_leased(&self, terms: &Terms, now: Clocks) -> bool {
+    pub fn is_leased(&self, terms: &LeaseSettings, now: Clocks) -> bool {
         self.lease.is_some_and(|(asked, ends)| {
-            now.steady >= asked.steady && now.steady < ends && now.parted(asked) <= terms.gap
+            now.monotonic >= asked.monotonic
+                && now.monotonic < ends
+                && now.divergence_since(asked) <= terms.max_clock_divergence
         })
     }
 }
--- a/core/sites/tests/conductor.rs
+++ b/core/sites/tests/conductor.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use elmtide_budgets::{FrontId, Holder, Incarnation};
+use elmtide_budgets::{FrontId, HolderId, Incarnation};
 use elmtide_sites::conductor::Now;
 use elmtide_sites::watch::Looks;
 use elmtide_sites::{Command, Conductor, Rules, Said, SiteId, Standing, State, Word};
@@ -57,7 +57,7 @@
             self.ms += 50;
             let number = self.state.number();
             for (front, said) in self.fronts.iter_mut().enumerate() {
-                let holder = Holder { front: FrontId(front as u64), incarnation: Incarnation(1) };
+                let holder = HolderId { front: FrontId(front as u64), incarnation: Incarnation(1) };
                 if let Some(said) = said {
                     said.seen = Some(number);
                     self.leader.on_said(holder, said.clone(), self.ms * MS);
--- a/core/work/src/conductor.rs
+++ b/core/work/src/conductor.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use elmtide_budgets::{FrontId, Holder, Micros, Number};
+use elmtide_budgets::{Epoch, FrontId, HolderId, Micros};
 
 use crate::plan::{self, can_be_called_back, Facts, Wait};
 use crate::state::{bound_beside, Command, State, Step, Way};
@@ -23,7 +23,7 @@
     pub lease: Micros,
     pub me: FrontId,
     /// When a lease that this run may hold is over, and all that was decided under it has ended.
-    pub over_at: &'a dyn Fn(Holder) -> Micros,
+    pub over_at: &'a dyn Fn(HolderId) -> Micros,
 }
 
 #[derive(Debug, Default)]
@@ -35,12 +35,12 @@
 
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Conductor {
-    said: BTreeMap<Holder, (Micros, Said)>,
+    said: BTreeMap<HolderId, (Micros, Said)>,
     waits: BTreeMap<MachineId, Wait>,
     /// Gone or failing without being out for work.
     missing: BTreeSet<MachineId>,
     /// The numbers that runs were last reminded of.
-    poked: BTreeMap<Holder, Number>,
+    poked: BTreeMap<HolderId, Epoch>,
     /// Machines that were seen away since they were let go.
     away: BTreeSet<MachineId>,
 }
@@ -51,7 +51,7 @@
     }
 
     /// Takes in what a front says.
-    pub fn on_said(&mut self, state: &State, holder: Holder, mut said: Said, now: Micros) {
+    pub fn on_said(&mut self, state: &State, holder: HolderId, mut said: Said, now: Micros) {
         if !current(state, holder) {
             return;
         }
@@ -65,7 +65,7 @@
     }
 
     /// What goes with an answer to this run; nothing for one that says nothing.
-    pub fn view(&self, state: &State, holder: Holder, wall: u64) -> Option<View> {
+    pub fn view(&self, state: &State, holder: HolderId, wall: u64) -> Option<View> {
         let (_, said) = self.said.get(&holder)?;
         if state.version() == 0 {
             return None;
@@ -92,15 +92,15 @@
     }
 
     /// Runs that should ask now: they have not seen the last number, nor been reminded of it.
-    pub fn pokes(&mut self, state: &State) -> Vec<Holder> {
+    pub fn pokes(&mut self, state: &State) -> Vec<HolderId> {
         let number = state.number();
         let unseen = self.said.iter().filter(|(_, (_, said))| said.seen != Some(number));
-        let unseen: Vec<Holder> = unseen.map(|(holder, _)| *holder).collect();
+        let unseen: Vec<HolderId> = unseen.map(|(holder, _)| *holder).collect();
         let poked = &mut self.poked;
         unseen.into_iter().filter(|h| poked.insert(*h, number) != Some(number)).collect()
     }
 
-    fn fresh<'a>(&'a self, now: &'a Now) -> impl Iterator<Item = (Holder, &'a Said)> + 'a {
+    fn fresh<'a>(&'a self, now: &'a Now) -> impl Iterator<Item = (HolderId, &'a Said)> + 'a {
         let heard = self.said.iter().filter(|(_, (at, _))| now.steady.saturating_sub(*at) <= now.lease);
         heard.map(|(holder, (_, said))| (*holder, said))
     }
@@ -133,7 +133,7 @@
         let lost = looks.into_iter().filter(|(m, (bad, all))| bad * 2 > *all && !out(m));
         facts.lost = lost.map(|(machine, _)| machine).collect();
         let unheard = state.fronts().iter().find(|(front, there)| {
-            let holder = Holder { front: **front, incarnation: there.incarnation };
+            let holder = HolderId { front: **front, incarnation: there.incarnation };
             !there.off && !self.is_fresh(holder, now)
         });
         facts.stopped = match (state.bounds().is_closed(now.wall), strained, unheard) {
@@ -145,7 +145,7 @@
         facts
     }
 
-    fn is_fresh(&self, holder: Holder, now: &Now) -> bool {
+    fn is_fresh(&self, holder: HolderId, now: &Now) -> bool {
         self.said.get(&holder).is_some_and(|(at, _)| now.steady.saturating_sub(*at) <= now.lease)
     }
 
@@ -199,7 +199,7 @@
             let (seen, there) = (said.seen?, state.fronts().get(&holder.front)?);
             ((there.seen < wanted && seen > there.seen) || there.off).then_some((holder, seen))
         });
-        let fronts: Vec<(Holder, Number)> = news.collect();
+        let fronts: Vec<(HolderId, Epoch)> = news.collect();
         (!fronts.is_empty()).then_some(Command::Seen { fronts })
     }
 
@@ -264,7 +264,7 @@
     fn leaves(&self, state: &State, facts: &Facts, now: &Now, spec: &Spec, way: &Way) -> Result<(), Wait> {
         let unseen = state.fronts().iter().find(|(_, t)| !t.off && t.seen < way.number);
         if let Some((front, there)) = unseen {
-            let holder = Holder { front: *front, incarnation: there.incarnation };
+            let holder = HolderId { front: *front, incarnation: there.incarnation };
             return Err(if self.is_fresh(holder, now) {
                 Wait::NotSeen(*front)
             } else {
@@ -286,7 +286,7 @@
     /// Whether nobody has anything open there.
     fn empty(&self, state: &State, now: &Now, machine: MachineId, way: &Way) -> Result<(), Wait> {
         for (front, there) in state.fronts().iter().filter(|(_, t)| !t.off) {
-            let holder = Holder { front: *front, incarnation: there.incarnation };
+            let holder = HolderId { front: *front, incarnation: there.incarnation };
             let said = self.said.get(&holder).map(|(_, said)| said);
             let clear = said.is_some_and(|s| s.seen >= Some(way.number) && s.clear.contains(&machine));
             if !clear && now.steady < (now.over_at)(holder) {
@@ -333,7 +333,7 @@
     fn ready(&self, state: &State, now: &Now, machine: MachineId, spec: &Spec) -> Result<u8, Wait> {
         if let Some((front, _)) = spec.front {
             let there = state.fronts().get(&front).ok_or(Wait::NotReady)?;
-            let holder = Holder { front, incarnation: there.incarnation };
+            let holder = HolderId { front, incarnation: there.incarnation };
             let heard = self.is_fresh(holder, now);
             return if heard { Ok(100) } else { Err(Wait::NotHeard(front)) };
         }
@@ -348,7 +348,7 @@
     }
 }
 
-fn current(state: &State, holder: Holder) -> bool {
+fn current(state: &State, holder: HolderId) -> bool {
     state.fronts().get(&holder.front).is_some_and(|t| t.incarnation == holder.incarnation)
 }
 
--- a/core/work/src/lib.rs
+++ b/core/work/src/lib.rs
@@ -20,7 +20,7 @@
 
 use std::net::SocketAddr;
 
-use elmtide_budgets::{FrontId, Incarnation, Number};
+use elmtide_budgets::{Epoch, FrontId, Incarnation};
 use serde::{Deserialize, Serialize};
 
 pub mod conductor;
@@ -38,7 +38,7 @@
 
 impl MachineId {
     pub fn of(name: &str) -> MachineId {
-        MachineId(FrontId::of(name).0)
+        MachineId(FrontId::from_name(name).0)
     }
 }
 
@@ -168,7 +168,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct There {
     pub incarnation: Incarnation,
-    pub seen: Number,
+    pub seen: Epoch,
     /// An operator has said that its machine is off.
     pub off: bool,
 }
--- a/core/work/src/state.rs
+++ b/core/work/src/state.rs
@@ -14,7 +14,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use elmtide_budgets::{FrontId, Holder, Number};
+use elmtide_budgets::{Epoch, FrontId, HolderId};
 use serde::{Deserialize, Serialize};
 
 use crate::view::Placed;
@@ -72,11 +72,11 @@
     },
     /// What fronts have said that they have seen.
     Seen {
-        fronts: Vec<(Holder, Number)>,
+        fronts: Vec<(HolderId, Epoch)>,
     },
     Step {
         machine: MachineId,
-        number: Number,
+        number: Epoch,
         step: Step,
         at: u64,
     },
@@ -146,7 +146,7 @@
     pub job: JobId,
     pub stage: Stage,
     /// Of its last change that fronts have to know of.
-    pub number: Number,
+    pub number: Epoch,
     /// Leader's wall clock in milliseconds: when it was made next, and when it came to its stage.
     pub began: u64,
     pub since: u64,
@@ -188,7 +188,7 @@
     fronts: BTreeMap<FrontId, There>,
     /// More fronts have come than are kept account of.
     untracked: bool,
-    number: Number,
+    number: Epoch,
     permits: u64,
     last_job: u32,
     at: u64,
@@ -202,7 +202,7 @@
     }
 
     /// Of the last change that fronts have to know of.
-    pub fn number(&self) -> Number {
+    pub fn number(&self) -> Epoch {
         self.number
     }
 
@@ -245,16 +245,16 @@
 
     // ---- Fronts that come and go: told by the budgets' accounts ----
 
-    pub fn joined(&mut self, holder: Holder) {
+    pub fn joined(&mut self, holder: HolderId) {
         if self.fronts.len() >= FRONTS && !self.fronts.contains_key(&holder.front) {
             self.untracked = true;
             return;
         }
-        let there = There { incarnation: holder.incarnation, seen: Number(0), off: false };
+        let there = There { incarnation: holder.incarnation, seen: Epoch(0), off: false };
         self.fronts.insert(holder.front, there);
     }
 
-    pub fn left(&mut self, holder: Holder) {
+    pub fn left(&mut self, holder: HolderId) {
         if self.fronts.get(&holder.front).is_some_and(|t| t.incarnation == holder.incarnation) {
             self.fronts.remove(&holder.front);
         }
@@ -451,7 +451,7 @@
         Ok(JobId(0))
     }
 
-    fn seen(&mut self, fronts: &[(Holder, Number)]) -> Result<JobId, Refused> {
+    fn seen(&mut self, fronts: &[(HolderId, Epoch)]) -> Result<JobId, Refused> {
         if fronts.len() > FRONTS {
             return Err(Refused::TooMany);
         }
@@ -466,7 +466,7 @@
         Ok(JobId(0))
     }
 
-    fn next_number(&mut self) -> Number {
+    fn next_number(&mut self) -> Epoch {
         self.number.0 += 1;
         self.number
     }
@@ -480,7 +480,7 @@
         bound_beside(&self.bounds, self.voters().len(), machine, spec, &placed)
     }
 
-    fn step(&mut self, machine: MachineId, number: Number, step: Step, at: u64) -> Result<JobId, Refused> {
+    fn step(&mut self, machine: MachineId, number: Epoch, step: Step, at: u64) -> Result<JobId, Refused> {
         let way = self.ways.get(&machine).ok_or(Refused::NotThere)?;
         let (job, stage) = (way.job, way.stage);
         if way.number != number {
--- a/core/work/src/view.rs
+++ b/core/work/src/view.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-use elmtide_budgets::{Clocks, Micros, Number, Terms};
+use elmtide_budgets::{Clocks, Epoch, LeaseSettings, Micros};
 use serde::{Deserialize, Serialize};
 
 use crate::plan::Wait;
@@ -55,7 +55,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Said {
     /// It decides by this view, or a later one; none before it has one.
-    pub seen: Option<Number>,
+    pub seen: Option<Epoch>,
     /// Machines on their way out by that view at which it has nothing open.
     pub clear: Vec<MachineId>,
     pub sights: Vec<(MachineId, Sight)>,
@@ -76,7 +76,7 @@
 /// What a front is told with an answer: it has the answer's lease.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct View {
-    pub number: Number,
+    pub number: Epoch,
     /// Of the layout.
     pub version: u64,
     /// None where nothing has changed since what the front had said that it has seen.
@@ -108,23 +108,26 @@
 /// The front's side, where it decides.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Viewer {
-    terms: Terms,
+    terms: LeaseSettings,
     /// Machines of the file, which are kept off before there is a view.
     known: BTreeSet<MachineId>,
     addresses: BTreeMap<SocketAddr, MachineId>,
     placed: Option<BTreeMap<MachineId, Stage>>,
-    number: Number,
+    number: Epoch,
     lease: Option<(Clocks, Micros)>,
 }
 
 impl Viewer {
-    pub fn new(terms: Terms, machines: impl IntoIterator<Item = (MachineId, Option<SocketAddr>)>) -> Viewer {
+    pub fn new(
+        terms: LeaseSettings,
+        machines: impl IntoIterator<Item = (MachineId, Option<SocketAddr>)>,
+    ) -> Viewer {
         let mut viewer = Viewer {
             terms,
             known: BTreeSet::new(),
             addresses: BTreeMap::new(),
             placed: None,
-            number: Number(0),
+            number: Epoch(0),
             lease: None,
         };
         for (machine, at) in machines {
@@ -149,7 +152,7 @@
             None => return,
         }
         self.number = view.number;
-        if self.lease.is_none_or(|(before, _)| asked.steady >= before.steady) {
+        if self.lease.is_none_or(|(before, _)| asked.monotonic >= before.monotonic) {
             self.lease = Some((*asked, *ends));
         }
     }
@@ -159,7 +162,7 @@
         self.placed.is_some()
     }
 
-    pub fn number(&self) -> Number {
+    pub fn number(&self) -> Epoch {
         self.number
     }
 
@@ -201,6 +204,8 @@
     }
 }
 
-fn in_force(terms: &Terms, asked: Clocks, ends: Micros, now: Clocks) -> bool {
-    now.steady >= asked.steady && now.steady < ends && now.parted(asked) <= terms.gap
+fn in_force(terms: &LeaseSettings, asked: Clocks, ends: Micros, now: Clocks) -> bool {
+    now.monotonic >= asked.monotonic
+        && now.monotonic < ends
+        && now.divergence_since(asked) <= terms.max_clock_divergence
 }
--- a/core/work/tests/conductor.rs
+++ b/core/work/tests/conductor.rs
@@ -1,6 +1,6 @@
 //! What the leader proposes from what fronts say: steps, waits and their reasons, overdue permits, returns.
 
-use elmtide_budgets::{FrontId, Holder, Incarnation, Number};
+use elmtide_budgets::{Epoch, FrontId, HolderId, Incarnation};
 use elmtide_work::conductor::Now;
 use elmtide_work::plan::Wait;
 use elmtide_work::state::Step;
@@ -21,8 +21,8 @@
     MachineId::of(name)
 }
 
-fn holder(front: u64) -> Holder {
-    Holder { front: FrontId(front), incarnation: Incarnation(1) }
+fn holder(front: u64) -> HolderId {
+    HolderId { front: FrontId(front), incarnation: Incarnation(1) }
 }
 
 const READY: Sight = Sight { looks: Looks::Ready, born: 5, warm: 100, load: 10, work: Work::Done };
@@ -159,7 +159,7 @@
     leader.wall = 90 * 60_000;
     assert_eq!(leader.wait("a"), Some(Wait::Hours));
     leader.wall = 0;
-    let said = Said { seen: Some(Number(0)), strained: true, ..Said::default() };
+    let said = Said { seen: Some(Epoch(0)), strained: true, ..Said::default() };
     leader.conductor.on_said(&leader.state, holder(2), said, leader.now);
     assert_eq!(leader.wait("a"), Some(Wait::Strained(FrontId(2))));
     leader.say(&[2]);
--- a/core/work/tests/permit_model.rs
+++ b/core/work/tests/permit_model.rs
@@ -3,7 +3,7 @@
 
 use std::hash::{Hash, Hasher};
 
-use elmtide_budgets::{Clocks, FrontId, Holder, Incarnation, Number, Terms};
+use elmtide_budgets::{Clocks, Epoch, FrontId, HolderId, Incarnation, LeaseSettings};
 use elmtide_work::conductor::Now;
 use elmtide_work::state::Step;
 use elmtide_work::view::{Looks, Sight, Told};
@@ -16,7 +16,13 @@
 const OPEN: u64 = 1;
 const END: u64 = 5;
 
-const TERMS: Terms = Terms { lease: LEASE * UNIT, drift: 0.0, slack: 0, gap: 10, longest: OPEN * UNIT };
+const TERMS: LeaseSettings = LeaseSettings {
+    duration: LEASE * UNIT,
+    drift: 0.0,
+    slack: 0,
+    max_clock_divergence: 10,
+    max_request_deadline: OPEN * UNIT,
+};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Variant {
@@ -99,11 +105,11 @@
 }
 
 fn clocks(now: u64) -> Clocks {
-    Clocks { steady: 1_000_000 + now * UNIT, wall: 9_000_000 + now * UNIT }
+    Clocks { monotonic: 1_000_000 + now * UNIT, wall: 9_000_000 + now * UNIT }
 }
 
-fn holder(front: usize, incarnation: u64) -> Holder {
-    Holder { front: FrontId(front as u64 + 1), incarnation: Incarnation(incarnation) }
+fn holder(front: usize, incarnation: u64) -> HolderId {
+    HolderId { front: FrontId(front as u64 + 1), incarnation: Incarnation(incarnation) }
 }
 
 fn viewer() -> Viewer {
@@ -139,7 +145,7 @@
         };
         let (incarnation, asked) = (front.incarnation, world.now);
         world.word |= !clear.is_empty();
-        world.conductor.on_said(&world.agreed, holder(place, incarnation), said, now.steady);
+        world.conductor.on_said(&world.agreed, holder(place, incarnation), said, now.monotonic);
         let view = world.conductor.view(&world.agreed, holder(place, incarnation), 0)?;
         world.answered[place] = world.now;
         Some(Answer { incarnation, asked, view })
@@ -149,14 +155,14 @@
         let now = clocks(world.now);
         let front = &mut world.fronts[place];
         if front.incarnation == answer.incarnation {
-            let ends = clocks(answer.asked + LEASE).steady;
+            let ends = clocks(answer.asked + LEASE).monotonic;
             front.viewer.take(&Told { view: answer.view, asked: clocks(answer.asked), ends }, now);
         }
     }
 
     fn apply(&self, world: &mut World, mut command: Command) {
         if let (Variant::NoNumber, Command::Step { number, .. }) = (self.0, &mut command) {
-            *number = world.agreed.ways().get(&machine()).map_or(Number(0), |w| w.number);
+            *number = world.agreed.ways().get(&machine()).map_or(Epoch(0), |w| w.number);
         }
         let _ = world.agreed.apply(&command);
     }
@@ -164,12 +170,12 @@
     fn propose(&self, world: &mut World) -> Vec<Command> {
         let answered = world.answered;
         let (began, incarnations) = (world.began, world.fronts.each_ref().map(|f| f.incarnation));
-        let over_at = |holder: Holder| {
+        let over_at = |holder: HolderId| {
             let front = holder.front.0 as usize - 1;
             let heard = if holder.incarnation.0 == incarnations[front] { answered[front] } else { began };
-            clocks(heard.max(began) + LEASE + OPEN).steady
+            clocks(heard.max(began) + LEASE + OPEN).monotonic
         };
-        let steady = clocks(world.now).steady;
+        let steady = clocks(world.now).monotonic;
         let now = Now { steady, wall: 0, lease: LEASE * UNIT, me: FrontId(9), over_at: &over_at };
         let proposal = world.conductor.propose(&world.agreed, &now);
         let mut proposed = proposal.commands;
@@ -207,14 +213,14 @@
         let bounds = Bounds { further: false, of_location: 1, ..Bounds::default() };
         agreed.apply(&Command::Layout { version: 1, machines: vec![spec("a"), spec("b")], bounds }).unwrap();
         let mut fronts = [0, 1].map(|_| Front { incarnation: 1, viewer: viewer(), open_until: 0 });
-        let first = View { number: Number(0), version: 1, placed: Some(vec![]), details: None };
+        let first = View { number: Epoch(0), version: 1, placed: Some(vec![]), details: None };
         let mut conductor = Conductor::new();
         for (place, front) in fronts.iter_mut().enumerate() {
             agreed.joined(holder(place, 1));
-            let told = Told { view: first.clone(), asked: clocks(0), ends: clocks(LEASE).steady };
+            let told = Told { view: first.clone(), asked: clocks(0), ends: clocks(LEASE).monotonic };
             front.viewer.take(&told, clocks(0));
-            let said = Said { seen: Some(Number(0)), ..Said::default() };
-            conductor.on_said(&agreed, holder(place, 1), said, clocks(0).steady);
+            let said = Said { seen: Some(Epoch(0)), ..Said::default() };
+            conductor.on_said(&agreed, holder(place, 1), said, clocks(0).monotonic);
         }
         agreed.apply(&out()).unwrap();
         vec![World {
--- a/core/work/tests/state.rs
+++ b/core/work/tests/state.rs
@@ -1,6 +1,6 @@
 //! The agreed state: each step from each stage, bounds, jobs; and commands drawn at random, which never break what is to hold.
 
-use elmtide_budgets::{FrontId, Holder, Incarnation, Number};
+use elmtide_budgets::{Epoch, FrontId, HolderId, Incarnation};
 use elmtide_work::plan::{choose, least_rounds, rounds, Facts, Wait};
 use elmtide_work::state::{Bound, Step};
 use elmtide_work::{BackBy, Bounds, Command, JobId, MachineId, Refused, Spec, Stage, State};
@@ -14,8 +14,8 @@
     MachineId::of(name)
 }
 
-fn holder(front: u64, incarnation: u64) -> Holder {
-    Holder { front: FrontId(front), incarnation: Incarnation(incarnation) }
+fn holder(front: u64, incarnation: u64) -> HolderId {
+    HolderId { front: FrontId(front), incarnation: Incarnation(incarnation) }
 }
 
 fn bounds(of_location: u16) -> Bounds {
@@ -36,7 +36,7 @@
 }
 
 fn step(state: &mut State, name: &str, step: Step) -> Result<JobId, Refused> {
-    let number = state.ways().get(&id(name)).map_or(Number(0), |w| w.number);
+    let number = state.ways().get(&id(name)).map_or(Epoch(0), |w| w.number);
     state.apply(&Command::Step { machine: id(name), number, step, at: 10 })
 }
 
@@ -118,7 +118,7 @@
 fn the_same_step_sent_twice_counts_once() {
     let mut state = pair();
     out(&mut state, &["a"]).unwrap();
-    let first = Command::Step { machine: id("a"), number: Number(0), step: Step::Next, at: 1 };
+    let first = Command::Step { machine: id("a"), number: Epoch(0), step: Step::Next, at: 1 };
     state.apply(&first).unwrap();
     assert_eq!(state.apply(&first), Err(Refused::Changed));
 }
@@ -324,10 +324,10 @@
     #[test]
     fn no_commands_break_the_bounds((specs, bounds) in layout(), steps in prop::collection::vec((0..40usize, 0..14u8, 0..9u64), 1..300)) {
         let mut state = state(specs.clone(), bounds);
-        let mut last = (Number(0), 0);
+        let mut last = (Epoch(0), 0);
         for (machine, what, at) in steps {
             let machine = id(&format!("m{}", machine % specs.len()));
-            let number = state.ways().get(&machine).map_or(Number(0), |w| w.number);
+            let number = state.ways().get(&machine).map_or(Epoch(0), |w| w.number);
             let job = state.ways().get(&machine).map_or(JobId(1), |w| w.job);
             let step = |step| Command::Step { machine, number, step, at };
             let command = match what {
--- /dev/null
+++ b/front/src/engine/budget_client.rs
@@ -0,0 +1,406 @@
+//! The engine's side of budgets that belong to all fronts: it spends by its local quota ledger, at the moment of its decisions,
+//! and asks nobody.
+
+use std::collections::{BTreeMap, HashMap};
+
+use crossbeam_channel::Sender;
+use elmtide::{Listing, MemberId, Ms, RequestId, Settings};
+use elmtide_budgets::ledger::{Reservation, ReservationOutcome};
+use elmtide_budgets::{
+    BudgetId, BudgetKind, Clocks, LeaseSettings, Micros, Priority, QuotaLedger, TotalLimit,
+};
+use elmtide_cells::ShopId;
+
+use crate::exchange::AttemptKey;
+use crate::fleet::spend_log::SpendLog;
+use crate::fleet_link::{EngineReport, FleetUpdate, OwnSiteState, Waker};
+use crate::process::clock;
+
+/// The fleet's budget of retries.
+pub const RETRIES: BudgetId = BudgetId { kind: BudgetKind::Retries, resource: 0 };
+const ORIGIN: BudgetId = BudgetId { kind: BudgetKind::OriginFetches, resource: 0 };
+
+/// Time constant of what counts as denied lately, in microseconds.
+const DENIAL_DECAY: f64 = 2_000_000.0;
+/// Fewer recent denials than this are no shortage.
+const MIN_DENIALS: f64 = 2.0;
+/// Fraction of recent requests for units that may be denied without a shortage.
+const TOLERATED_DENIALS: f64 = 0.1;
+/// Fraction of what a server in slow start bears that the decision module uses.
+const USED_CAPACITY: f64 = 0.6;
+const MIN_SLOW_START_FRACTION: f64 = 0.01;
+/// Work of a request whose size is not known, in milliseconds at full pace.
+const DEFAULT_WORK_MS: Ms = 50.0;
+/// A quota below this counts as a division among all fronts that there could ever be.
+const MIN_FRACTION: f64 = 1e-12;
+
+/// A cache node or parent in slow start.
+#[derive(Clone, Copy, Debug)]
+struct SlowStartServer {
+    budget: BudgetId,
+    /// Fraction of its kind's work that is meant for it by now.
+    work_fraction: f64,
+}
+
+/// Slow start as the settings have it for one kind of servers.
+struct SlowStartRule {
+    kind: BudgetKind,
+    span: Option<Ms>,
+    fall_multiple: Option<f64>,
+    initial_fraction: Option<f64>,
+}
+
+impl SlowStartRule {
+    fn of_caches(settings: &Settings) -> SlowStartRule {
+        SlowStartRule {
+            kind: BudgetKind::SlowStartCache,
+            span: settings.cold_span,
+            fall_multiple: settings.fall_multiple,
+            initial_fraction: settings.cold_from,
+        }
+    }
+
+    fn of_parents(settings: &Settings) -> SlowStartRule {
+        SlowStartRule {
+            kind: BudgetKind::SlowStartParent,
+            span: settings.parent_cold_span,
+            fall_multiple: settings.parent_fall_multiple,
+            initial_fraction: settings.parent_cold_from,
+        }
+    }
+
+    /// How far a server has come, from 0 to 1; `None` where that is not known.
+    fn progress(&self, listing: &Listing, unix_ms: Ms) -> Option<f64> {
+        let (born, span) = listing.born.zip(self.span)?;
+        Some(((unix_ms - born) / span).clamp(0.0, 1.0))
+    }
+
+    fn is_in_slow_start(&self, listing: &Listing, unix_ms: Ms) -> bool {
+        let Some((born, span)) = listing.born.zip(self.span) else { return false };
+        (0.0..span).contains(&(unix_ms - born))
+    }
+
+    /// What a server in slow start bears by now: the total that demands are fractions of. `None` without the settings' window.
+    fn limit(&self, listing: &Listing, fall_span: Option<Ms>, unix_ms: Ms) -> Option<TotalLimit> {
+        let fall_span = fall_span?;
+        let initial = self.initial_fraction.unwrap_or(0.0).clamp(MIN_SLOW_START_FRACTION, 1.0);
+        let progress = self.progress(listing, unix_ms).unwrap_or(1.0);
+        let capacity = (initial + (1.0 - initial) * progress) * USED_CAPACITY;
+        let burst = listing.weight.max(1.0) * self.fall_multiple.unwrap_or(1.0) * fall_span * capacity;
+        Some(TotalLimit { rate: 0.0, burst, window: (fall_span * 1000.0) as Micros })
+    }
+}
+
+/// Units that were denied lately, and all that were needed, both decaying.
+#[derive(Debug, Default)]
+struct DenialRate {
+    denied: f64,
+    needed: f64,
+    updated_at: Micros,
+}
+
+impl DenialRate {
+    fn decay(&mut self, now: Micros) {
+        let elapsed = now.saturating_sub(self.updated_at) as f64;
+        let kept = (-elapsed / DENIAL_DECAY).exp();
+        self.denied *= kept;
+        self.needed *= kept;
+        self.updated_at = now;
+    }
+
+    fn note(&mut self, was_granted: bool, now: Micros) {
+        self.decay(now);
+        self.denied += f64::from(u8::from(!was_granted));
+        self.needed += 1.0;
+    }
+
+    fn is_shortage(&mut self, now: Micros) -> bool {
+        self.decay(now);
+        self.denied > MIN_DENIALS && self.denied > TOLERATED_DENIALS * self.needed
+    }
+}
+
+/// A change of how many fronts a server's slow-start budget counts as divided among.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct SlowStartShare {
+    /// The server.
+    pub member: MemberId,
+    /// The number of fronts; `None` for a server that is not in slow start any more.
+    pub fronts: Option<f64>,
+}
+
+/// The engine's side of the fleet's budgets.
+#[derive(Debug)]
+pub struct BudgetClient {
+    settings: LeaseSettings,
+    /// The clocks of this input of the engine: read once for all that it decides.
+    now: Clocks,
+    /// The budgets that the fleet's file gives a size.
+    limits: Vec<(BudgetId, TotalLimit)>,
+    /// The kinds that the file has budgets of.
+    kinds: Vec<BudgetKind>,
+    ledger: QuotaLedger,
+    reports: Sender<EngineReport>,
+    waker: Waker,
+    spend_log: Option<SpendLog>,
+    slow_start: BTreeMap<MemberId, SlowStartServer>,
+    /// Units of fills that may turn out to be none.
+    reserved_fills: HashMap<AttemptKey, Vec<(BudgetId, Reservation)>>,
+    /// Shops' requests that run.
+    running: HashMap<RequestId, BudgetId>,
+    /// Whether a lease was in force when slow-start quotas were last taken over.
+    had_lease: bool,
+    denials: DenialRate,
+}
+
+impl BudgetClient {
+    pub fn new(
+        settings: LeaseSettings,
+        limits: Vec<(BudgetId, TotalLimit)>,
+        kinds: Vec<BudgetKind>,
+        reports: Sender<EngineReport>,
+        waker: Waker,
+        spend_log: Option<SpendLog>,
+    ) -> BudgetClient {
+        let mut client = BudgetClient {
+            settings,
+            now: clock::both(),
+            limits,
+            kinds,
+            ledger: QuotaLedger::new(settings),
+            reports,
+            waker,
+            spend_log,
+            slow_start: BTreeMap::new(),
+            reserved_fills: HashMap::new(),
+            running: HashMap::new(),
+            had_lease: false,
+            denials: DenialRate::default(),
+        };
+        client.reset();
+        client
+    }
+
+    fn reset(&mut self) {
+        self.ledger = QuotaLedger::new(self.settings);
+        self.slow_start.clear();
+        self.reserved_fills.clear();
+        self.running.clear();
+        for (budget, limit) in &self.limits {
+            self.ledger.configure_budget(*budget, *limit, self.now);
+        }
+    }
+
+    /// Sets the clocks of the next input.
+    pub fn set_time(&mut self, now: Clocks) {
+        self.now = now;
+    }
+
+    /// Whether the file has this budget.
+    pub fn has_budget(&self, budget: BudgetId) -> bool {
+        self.limits.iter().any(|(id, _)| *id == budget)
+    }
+
+    /// Takes an update of the fleet; that it is in use is reported at once, since others may wait for it.
+    pub fn apply(&mut self, update: FleetUpdate) {
+        match update {
+            FleetUpdate::Grant(grant) => self.ledger.apply_grant(grant, self.now),
+            FleetUpdate::Minimums(minimums) => self.ledger.apply_minimums(minimums, self.now),
+            FleetUpdate::Reset => self.reset(),
+            FleetUpdate::Maintenance(_) => {}
+            FleetUpdate::Close(confirmation) => {
+                self.ledger.close(self.now);
+                let _ = confirmation.try_send(());
+                return;
+            }
+        }
+        self.waker.wake();
+    }
+
+    /// Has the fleet's thread look at once.
+    pub fn wake_fleet(&self) {
+        self.waker.wake();
+    }
+
+    /// Whether more than a tenth of the retries or fills that were needed lately were denied.
+    pub fn is_short(&mut self) -> bool {
+        self.denials.is_shortage(self.now.monotonic)
+    }
+
+    fn note_request(&mut self, was_granted: bool) {
+        self.denials.note(was_granted, self.now.monotonic);
+    }
+
+    /// Reports what is needed and in use; a thread that is behind hears it the next time.
+    pub fn report(&mut self, maintenance: Option<elmtide_work::Said>, caches_warm: bool) {
+        let now = self.now;
+        let own_site = OwnSiteState { caches_warm, overloaded: self.is_short() };
+        let report = EngineReport {
+            quota_epoch: self.ledger.confirmable_epoch(now),
+            minimums_epoch: self.ledger.minimums_epoch(),
+            demands: self.ledger.demands(now),
+            lease_expiry: self.ledger.lease_expiry(now),
+            quotas: self.ledger.quotas(now),
+            maintenance,
+            own_site,
+        };
+        let _ = self.reports.try_send(report);
+    }
+
+    /// Units that may be spent now.
+    pub fn available(&mut self, budget: BudgetId) -> f64 {
+        self.ledger.available(budget, self.now)
+    }
+
+    /// Spends a unit; false if it can't be had.
+    pub fn try_spend(&mut self, budget: BudgetId, priority: Priority) -> bool {
+        let source = self.ledger.try_acquire_combined(budget, 1.0, priority, self.now);
+        if let (Some(source), Some(log)) = (source, &self.spend_log) {
+            log.record(self.now.wall, budget, 1.0, source);
+        }
+        self.note_request(source.is_some());
+        source.is_some()
+    }
+
+    /// Notes that a unit was needed and could not be had.
+    pub fn note_unmet_demand(&mut self, budget: BudgetId, priority: Priority) {
+        self.note_request(false);
+        self.ledger.record_demand(budget, 1.0, priority, self.now);
+    }
+
+    /// Whether a lease has begun or ended since slow-start quotas were last taken over.
+    pub fn lease_has_changed(&self) -> bool {
+        self.had_lease != self.ledger.has_valid_lease(self.now)
+    }
+
+    /// Takes over which listed servers are in slow start, and gives for each the number of fronts that its budget counts as
+    /// divided among: the decision module has windows of its own. Nothing where the file has no such budgets.
+    pub fn update_slow_start(
+        &mut self,
+        listed: &[Listing],
+        settings: &Settings,
+        unix_ms: Ms,
+    ) -> Vec<SlowStartShare> {
+        self.had_lease = self.ledger.has_valid_lease(self.now);
+        let in_slow_start = self.find_slow_start(listed, settings, unix_ms);
+        let before = std::mem::replace(&mut self.slow_start, in_slow_start);
+        let ended: Vec<(MemberId, SlowStartServer)> =
+            before.into_iter().filter(|(member, _)| !self.slow_start.contains_key(member)).collect();
+        for (_, server) in &ended {
+            self.ledger.remove_budget(server.budget);
+        }
+        let mut shares = Vec::new();
+        for (member, server) in &self.slow_start {
+            let fraction = self.ledger.window_fraction(server.budget, self.now);
+            shares.push(SlowStartShare { member: *member, fronts: Some(1.0 / fraction.max(MIN_FRACTION)) });
+        }
+        shares.extend(ended.into_iter().map(|(member, _)| SlowStartShare { member, fronts: None }));
+        shares
+    }
+
+    /// The servers in slow start; each has its budget configured.
+    fn find_slow_start(
+        &mut self,
+        listed: &[Listing],
+        settings: &Settings,
+        unix_ms: Ms,
+    ) -> BTreeMap<MemberId, SlowStartServer> {
+        let mut servers = BTreeMap::new();
+        // Of caches and of parents; one in slow start counts by how far it has come.
+        let mut total_weights = [0.0; 2];
+        for listing in listed {
+            let is_parent = Some(listing.kind) == settings.parent_kind;
+            let is_elsewhere = !is_parent && listing.zone != settings.zone;
+            if Some(listing.kind) == settings.origin_kind || is_elsewhere {
+                continue;
+            }
+            let rule = match is_parent {
+                true => SlowStartRule::of_parents(settings),
+                false => SlowStartRule::of_caches(settings),
+            };
+            let weight = listing.weight.max(0.0) * rule.progress(listing, unix_ms).unwrap_or(1.0);
+            total_weights[usize::from(is_parent)] += weight;
+            if !self.kinds.contains(&rule.kind) || !rule.is_in_slow_start(listing, unix_ms) {
+                continue;
+            }
+            let Some(limit) = rule.limit(listing, settings.fall_span, unix_ms) else { continue };
+            let budget = BudgetId { kind: rule.kind, resource: listing.member.0 };
+            self.ledger.configure_budget(budget, limit, self.now);
+            servers.insert(listing.member, SlowStartServer { budget, work_fraction: weight });
+        }
+        for server in servers.values_mut() {
+            let is_parent = server.budget.kind == BudgetKind::SlowStartParent;
+            server.work_fraction /= total_weights[usize::from(is_parent)].max(1e-9);
+        }
+        servers
+    }
+
+    /// Notes that work was sent to a cache, and maybe to a parent for it. Of each, the fraction that is meant for a server in slow
+    /// start counts as demand on its budget, whoever it went to: what is denied there goes elsewhere, and would not be seen.
+    pub fn note_work_sent(&mut self, with_parent: bool, work: Option<Ms>, priority: Priority) {
+        let work = work.unwrap_or(DEFAULT_WORK_MS);
+        for server in self.slow_start.values() {
+            if with_parent || server.budget.kind == BudgetKind::SlowStartCache {
+                self.ledger.record_demand(server.budget, work * server.work_fraction, priority, self.now);
+            }
+        }
+    }
+
+    /// Whether a fill may be requested; its units are reserved until the attempt's end tells whether there was one.
+    pub fn try_reserve_fill(&mut self, attempt: AttemptKey, from_origin: bool, priority: Priority) -> bool {
+        let link = self.limits.iter().map(|(id, _)| *id).find(|id| id.kind == BudgetKind::LinkFills);
+        let origin = Some(ORIGIN).filter(|origin| from_origin && self.has_budget(*origin));
+        let mut reservations = Vec::new();
+        for budget in link.into_iter().chain(origin) {
+            let Some(reservation) = self.ledger.reserve(budget, priority, self.now) else {
+                self.note_request(false);
+                for (budget, reservation) in reservations {
+                    self.ledger.resolve(budget, reservation, ReservationOutcome::Unused, self.now);
+                }
+                return false;
+            };
+            reservations.push((budget, reservation));
+        }
+        if !reservations.is_empty() {
+            self.reserved_fills.insert(attempt, reservations);
+        }
+        true
+    }
+
+    /// An attempt has ended: whether something was filled, and whether the origin gave it.
+    pub fn resolve_fill(&mut self, attempt: AttemptKey, was_filled: bool, by_origin: bool) {
+        let Some(reservations) = self.reserved_fills.remove(&attempt) else { return };
+        for (budget, reservation) in reservations {
+            let is_used = was_filled && (budget != ORIGIN || by_origin);
+            let outcome = if is_used { ReservationOutcome::Used } else { ReservationOutcome::Unused };
+            self.ledger.resolve(budget, reservation, outcome, self.now);
+            if let (true, Some(log)) = (is_used, &self.spend_log) {
+                log.record(reservation.taken_at.wall, budget, 1.0, reservation.source);
+            }
+        }
+    }
+
+    /// Whether a shop's request is admitted, by the shop's rate and by how many of its requests run.
+    pub fn admit_shop_request(&mut self, id: RequestId, shop: ShopId, priority: Priority) -> bool {
+        let concurrency = BudgetId { kind: BudgetKind::ShopConcurrency, resource: shop.0 };
+        if self.has_budget(concurrency) {
+            if !self.ledger.begin_running(concurrency, priority, self.now) {
+                return false;
+            }
+            self.running.insert(id, concurrency);
+        }
+        let rate = BudgetId { kind: BudgetKind::ShopRate, resource: shop.0 };
+        if self.has_budget(rate) && !self.try_spend(rate, priority) {
+            self.end_request(id);
+            return false;
+        }
+        true
+    }
+
+    /// A request has had its final answer.
+    pub fn end_request(&mut self, id: RequestId) {
+        if let Some(budget) = self.running.remove(&id) {
+            self.ledger.end_running(budget);
+        }
+    }
+}
--- a/front/src/engine/mod.rs
+++ b/front/src/engine/mod.rs
@@ -10,17 +10,19 @@
 use crossbeam_channel::{Receiver, RecvTimeoutError};
 use elmtide::{Action, Event, Ms, Outcome, Repeat, Request, RequestId, Router, Settings, Token, Try};
 
+pub mod budget_client;
 mod cells;
-pub mod spending;
 pub mod working;
 
+use elmtide_budgets::Priority;
 use elmtide_cells::{Arrival, Decision, Ended, Layout, Why};
 
+use self::budget_client::{BudgetClient, RETRIES};
 use self::cells::InCells;
 pub use self::cells::Listed;
-use self::spending::{Spending, RETRIES};
 use self::working::Working;
 use crate::exchange::*;
+use crate::fleet_link::FleetUpdate;
 use crate::memory::announced::Announced;
 use crate::memory::counters::Counters;
 use crate::memory::exchanges::Exchanges;
@@ -98,7 +100,7 @@
     /// Clients are sent away, since this front's machine goes.
     sent_away: bool,
     /// Budgets that belong to all fronts, where there is a fleet.
-    spending: Option<Box<Spending>>,
+    budgets: Option<Box<BudgetClient>>,
     /// Machines that are taken out for work, where the fleet's file has any.
     working: Option<Box<Working>>,
 }
@@ -109,6 +111,15 @@
 const CLASSES: usize = 1024;
 const ROUTERS: usize = 16;
 
+/// The priority of requests that must not run twice, or of writes; all others are low.
+fn priority_if(is_high: bool) -> Priority {
+    if is_high {
+        Priority::High
+    } else {
+        Priority::Low
+    }
+}
+
 /// The longest wait that may be told to those who are refused.
 fn longest_wait(settings: &Settings) -> Option<u64> {
     settings.max_retry_after.filter(|_| settings.retry_after).map(|ms| ms as u64)
@@ -146,7 +157,7 @@
             purges: VecDeque::new(),
             class_names: Vec::new(),
             sent_away: false,
-            spending: None,
+            budgets: None,
             working: None,
         }
     }
@@ -158,11 +169,11 @@
     }
 
     /// Spends by its part of what belongs to all fronts.
-    pub fn sharing(mut self, spending: Option<Box<Spending>>) -> Engine<U> {
-        if spending.is_some() {
+    pub fn with_budgets(mut self, budgets: Option<Box<BudgetClient>>) -> Engine<U> {
+        if budgets.is_some() {
             self.alarms.push(Reverse((micros(self.now + SPENDING), Alarm::Spending)));
         }
-        self.spending = spending;
+        self.budgets = budgets;
         self
     }
 
@@ -245,13 +256,13 @@
 
     /// The clock may be set back, the module's time may not.
     fn tick(&mut self) {
-        let Some(spending) = &mut self.spending else {
+        let Some(budgets) = &mut self.budgets else {
             self.now = clock::unix_ms().max(self.now);
             return;
         };
         let now = clock::both();
         self.now = (now.wall as f64 / 1000.0).max(self.now);
-        spending.at(now);
+        budgets.set_time(now);
         if let Some(working) = &mut self.working {
             working.at(now);
         }
@@ -315,21 +326,21 @@
                     eprintln!("cells: a move is undone");
                 }
             }
-            Input::Fleet(FleetNews::View(told)) => {
+            Input::Fleet(FleetUpdate::Maintenance(told)) => {
                 if let Some(working) = &mut self.working {
                     working.take(&told);
                 }
                 self.keep_off();
                 self.withdraw_from_lost();
                 self.report();
-                if let Some(spending) = &mut self.spending {
-                    spending.wake();
+                if let Some(budgets) = &mut self.budgets {
+                    budgets.wake_fleet();
                 }
             }
             Input::Fleet(news) => {
-                let heard = !matches!(news, FleetNews::Close(_));
-                if let Some(spending) = &mut self.spending {
-                    spending.take(news);
+                let heard = !matches!(news, FleetUpdate::Close(_));
+                if let Some(budgets) = &mut self.budgets {
+                    budgets.apply(news);
                 }
                 if heard {
                     self.report();
@@ -403,7 +414,7 @@
 
     /// Tells the fleet's thread what is wanted, used and seen.
     fn report(&mut self) {
-        let Some(spending) = &mut self.spending else { return };
+        let Some(budgets) = &mut self.budgets else { return };
         if let Some(working) = &self.working {
             working.let_go().for_each(|member| self.failing.forget(member));
         }
@@ -418,7 +429,7 @@
                 |member| exchanges.is_open_at(member),
                 busy,
             );
-            said.strained = spending.is_strained();
+            said.strained = budgets.is_short();
             said
         });
         let (set, now) = (&self.settings, self.now);
@@ -429,15 +440,15 @@
             ours && l.born.zip(span).is_some_and(|(born, span)| now - born < span)
         };
         let warm = !self.listed.all_listings().iter().any(cold);
-        spending.report(said, warm);
+        budgets.report(said, warm);
     }
 
     /// Tells the routers their parts of what cold boxes and parents bear.
     fn tell_cold_parts(&mut self) {
-        let Some(spending) = &mut self.spending else { return };
+        let Some(budgets) = &mut self.budgets else { return };
         let listed = self.listed.present_listings();
-        for (member, among) in spending.cold_parts(&listed, &self.settings, self.now) {
-            self.routers.iter_mut().for_each(|r| r.divide(member, among));
+        for share in budgets.update_slow_start(&listed, &self.settings, self.now) {
+            self.routers.iter_mut().for_each(|r| r.divide(share.member, share.fronts));
         }
     }
 
@@ -560,8 +571,8 @@
         let out = self.exchanges.get(id).into_iter().flat_map(|e| e.out());
         let back = out.map(|attempt| AttemptKey { id, attempt }).filter(|key| upstream.withdraw(*key));
         self.ended.extend(back.map(|key| (key, Outcome::Cancelled)));
-        if let Some(spending) = &mut self.spending {
-            spending.ended(id);
+        if let Some(budgets) = &mut self.budgets {
+            budgets.end_request(id);
         }
         if let Some(cells) = &mut self.cells {
             cells.waiting.remove(&id);
@@ -594,7 +605,8 @@
             write: false, // the class tells
         };
         let (deadline, shop, once) = (incoming.deadline, incoming.shop, incoming.passed.once);
-        if self.spending.as_mut().is_some_and(|s| !s.takes(request.id, shop, once)) {
+        let priority = priority_if(once);
+        if self.budgets.as_mut().is_some_and(|b| !b.admit_shop_request(request.id, shop, priority)) {
             self.counters.refused.fetch_add(1, Relaxed);
             let wait_ms = self.pause(request.id);
             return incoming.responder.answer(Answer::Refused { wait_ms });
@@ -603,8 +615,8 @@
         let work = incoming.size_kb.zip(pace).map(|(kb, pace)| kb / pace * 1000.0);
         if let Err(incoming) = self.exchanges.open(incoming) {
             self.counters.failed.fetch_add(1, Relaxed);
-            if let Some(spending) = &mut self.spending {
-                spending.ended(request.id);
+            if let Some(budgets) = &mut self.budgets {
+                budgets.end_request(request.id);
             }
             return incoming.responder.answer(Answer::Failed);
         }
@@ -660,13 +672,13 @@
         let (id, attempt) = (key.id, key.attempt);
         let latency = self.now - sent;
         self.filled(router, note);
-        if let Some(spending) = &mut self.spending {
+        if let Some(budgets) = &mut self.budgets {
             use elmtide::Note;
             // Where nothing is told, a served or unknown end is taken for a fill.
             let unsent =
                 matches!(outcome, Outcome::ConnectFailed | Outcome::Moot | Outcome::Miss | Outcome::Full);
             let held = matches!(note, Note::Hit | Note::Stale | Note::Joined);
-            spending.filled(key, !(unsent || held), !matches!(note, Note::Filled));
+            budgets.resolve_fill(key, !(unsent || held), !matches!(note, Note::Filled));
         }
         self.tell(router, Event::Reply { id, attempt, outcome, latency, settled, note });
         if served {
@@ -707,13 +719,13 @@
         source: Option<elmtide::MemberId>,
         write: bool,
     ) -> Option<elmtide::MemberId> {
-        let Some(spending) = &mut self.spending else { return source };
+        let Some(budgets) = &mut self.budgets else { return source };
         let work = self.exchanges.get(key.id).and_then(|e| e.work);
-        spending.sent(source.is_some_and(|s| s != cache), work, write);
+        budgets.note_work_sent(source.is_some_and(|s| s != cache), work, priority_if(write));
         let from = source.filter(|_| !write);
         let Some(kind) = from.map(|from| self.listed.kind(from)) else { return source };
         let from_origin = kind.is_some() && kind == self.settings.origin_kind;
-        source.filter(|_| spending.may_fill(key, from_origin, write))
+        source.filter(|_| budgets.try_reserve_fill(key, from_origin, priority_if(write)))
     }
 
     fn settle_ended(&mut self) {
@@ -738,9 +750,9 @@
             self.keep_off();
         }
         let mut actions = std::mem::take(&mut self.actions);
-        match &self.spending {
-            Some(spending) => {
-                if spending.turned() {
+        match &self.budgets {
+            Some(budgets) => {
+                if budgets.lease_has_changed() {
                     self.tell_cold_parts();
                 }
                 self.handle_lent(router, event, &mut actions)
@@ -758,11 +770,10 @@
     fn handle_lent(&mut self, router: usize, event: Event, actions: &mut Vec<Action>) {
         // Nothing else starts an attempt.
         let may_try = matches!(event, Event::Request(_) | Event::Reply { .. } | Event::Timer { .. });
-        let Some(spending) = self.spending.as_mut().filter(|s| may_try && s.knows(RETRIES)) else {
+        let Some(budgets) = self.budgets.as_mut().filter(|b| may_try && b.has_budget(RETRIES)) else {
             return self.routers[router].handle(self.now, event, actions);
         };
-        let now = spending.now();
-        let lent = spending.holds(RETRIES, now).floor();
+        let lent = budgets.available(RETRIES).floor();
         self.routers[router].lend(lent);
         self.routers[router].handle(self.now, event, actions);
         let used = lent - self.routers[router].lend(0.0);
@@ -775,14 +786,15 @@
         };
         let high = high(&self.exchanges);
         for _ in 0..used as u64 {
-            spending.spend(RETRIES, high, now);
+            budgets.try_spend(RETRIES, priority_if(high));
         }
         // What was given up after an attempt, while there was nothing to spend, wanted one more.
         for action in actions.iter() {
             let (Action::Refuse { id, .. } | Action::Fail { id }) = action else { continue };
             let tried = self.exchanges.get(*id).is_some_and(|e| e.has_been_sent());
             if lent < 1.0 && tried {
-                spending.wanted(RETRIES, once(id, &self.exchanges), now);
+                let priority = priority_if(once(id, &self.exchanges));
+                budgets.note_unmet_demand(RETRIES, priority);
             }
         }
     }
--- a/front/src/engine/working.rs
+++ b/front/src/engine/working.rs
@@ -128,7 +128,7 @@
     }
 
     fn fade(&mut self) {
-        let now = self.now.steady;
+        let now = self.now.monotonic;
         let keep = (-(now.saturating_sub(self.faded) as f64) / FADE).exp();
         self.faded = now;
         self.load.values_mut().for_each(|load| *load *= keep);
--- a/front/src/exchange.rs
+++ b/front/src/exchange.rs
@@ -5,6 +5,7 @@
 use std::fmt;
 use std::sync::Arc;
 
+use crate::fleet_link::FleetUpdate;
 use crate::memory::budget::Held;
 use crate::memory::figures::{ClassTally, Ended, InFlight};
 use elmtide_cells::{Layout, ShopId};
@@ -283,21 +284,6 @@
     }
 }
 
-/// What the fleet tells the engine.
-#[derive(Debug)]
-pub enum FleetNews {
-    /// A lease, with all the shares that it is for.
-    Grant(elmtide_budgets::lessee::Grant),
-    /// Floors that the store has.
-    Floors(elmtide_budgets::lessee::Floors),
-    /// Which machines are kept off, with the lease on that.
-    View(elmtide_work::view::Told),
-    /// Whatever was held was another run's.
-    Reset,
-    /// No share is spent any more; then say so.
-    Close(crossbeam_channel::Sender<()>),
-}
-
 /// What comes in at the engine.
 #[derive(Debug)]
 pub enum Input {
@@ -333,7 +319,7 @@
     /// A move is taken back.
     UndoMove(ShopId),
     /// News of budgets that belong to all fronts.
-    Fleet(FleetNews),
+    Fleet(FleetUpdate),
     /// Finish what is open, refuse what comes late.
     Drain,
     Stop,
--- a/front/src/fleet/config.rs
+++ b/front/src/fleet/config.rs
@@ -7,9 +7,10 @@
 use std::path::{Path, PathBuf};
 
 use crate::fleet::sites::{SiteEntry, Sites, SitesEntry};
-use elmtide_budgets::purse::Whole;
-use elmtide_budgets::state::{FloorRule, FRONTS};
-use elmtide_budgets::{FrontId, Key, Kind, Micros, Spent, Terms, WHOLE};
+use elmtide_budgets::command::MAX_FRONTS;
+use elmtide_budgets::MinimumRule;
+use elmtide_budgets::TotalLimit;
+use elmtide_budgets::{BudgetId, BudgetKind, FrontId, LeaseSettings, Micros, SpendingModel, TOTAL};
 use elmtide_cells::ShopId;
 use elmtide_fleet::{Front, Settings};
 use elmtide_sites::{Rules, SiteId};
@@ -215,23 +216,24 @@
 }
 
 impl BudgetEntry {
-    pub fn kind(&self) -> Result<Kind, String> {
-        Kind::named(&self.kind).ok_or_else(|| {
-            let known: Vec<&str> = Kind::ALL.iter().map(|k| k.name()).collect();
+    pub fn kind(&self) -> Result<BudgetKind, String> {
+        BudgetKind::from_name(&self.kind).ok_or_else(|| {
+            let known: Vec<&str> = BudgetKind::ALL.iter().map(|k| k.name()).collect();
             format!("budget {:?} is not known; there are {}", self.kind, known.join(", "))
         })
     }
 
     /// The budget, where the file says how large it is; kinds of which each box has its own are found in service. A link is that
     /// of the front's own site: each site has one of that size.
-    pub fn whole(&self, site: &str) -> Result<Option<(Key, Whole)>, String> {
+    pub fn whole(&self, site: &str) -> Result<Option<(BudgetId, TotalLimit)>, String> {
         let kind = self.kind()?;
         let id = match kind {
-            Kind::LinkIn => FrontId::of(site).0,
+            BudgetKind::LinkFills => FrontId::from_name(site).0,
             _ => self.shop.as_deref().map_or(0, |shop| ShopId::of(shop).0),
         };
-        let whole = Whole { rate: self.rate, burst: self.burst, span: 0 };
-        Ok((kind.spent() != Spent::Window).then_some((Key { kind, id }, whole)))
+        let whole = TotalLimit { rate: self.rate, burst: self.burst, window: 0 };
+        Ok((kind.spending_model() != SpendingModel::SlidingWindow)
+            .then_some((BudgetId { kind, resource: id }, whole)))
     }
 }
 
@@ -271,10 +273,10 @@
         if self.store.is_some() == self.no_store {
             return Err("name a store, or say no_store = true: one of them".into());
         }
-        if self.front.is_empty() || self.front.len() > FRONTS {
-            return Err(format!("{} fronts: from 1 to {FRONTS} are possible", self.front.len()));
+        if self.front.is_empty() || self.front.len() > MAX_FRONTS {
+            return Err(format!("{} fronts: from 1 to {MAX_FRONTS} are possible", self.front.len()));
         }
-        let ids: BTreeSet<FrontId> = self.front.iter().map(|f| FrontId::of(&f.name)).collect();
+        let ids: BTreeSet<FrontId> = self.front.iter().map(|f| FrontId::from_name(&f.name)).collect();
         if ids.len() != self.front.len() {
             return Err("two fronts have one name".into());
         }
@@ -286,13 +288,13 @@
         for budget in &self.budget {
             let kind = budget.kind()?;
             within(&format!("floor of {}", budget.kind), budget.floor, 0.0, 1.0)?;
-            if kind.spent() != Spent::Window {
+            if kind.spending_model() != SpendingModel::SlidingWindow {
                 within(&format!("burst of {}", budget.kind), budget.burst, 1e-3, 1e9)?;
             }
-            if kind.spent() == Spent::Bucket {
+            if kind.spending_model() == SpendingModel::TokenBucket {
                 within(&format!("rate of {}", budget.kind), budget.rate, 1e-3, 1e9)?;
             }
-            let of_shop = matches!(kind, Kind::ShopRate | Kind::ShopRunning);
+            let of_shop = matches!(kind, BudgetKind::ShopRate | BudgetKind::ShopConcurrency);
             if of_shop != budget.shop.is_some() {
                 return Err(format!("{}: a shop's budget names its shop, others name none", budget.kind));
             }
@@ -371,7 +373,7 @@
             kind: place(&kinds, &m.kind),
             weight: (m.weight * 1000.0) as u32,
             at: m.address,
-            front: m.front.as_ref().and_then(|f| self.own(f)).map(|f| (FrontId::of(&f.name), f.votes)),
+            front: m.front.as_ref().and_then(|f| self.own(f)).map(|f| (FrontId::from_name(&f.name), f.votes)),
         };
         let pair = |(a, b): &(String, String)| (MachineId::of(a), MachineId::of(b));
         let bounds = Bounds {
@@ -414,13 +416,13 @@
     }
 
     /// `longest`: the longest deadline of a request, in milliseconds.
-    pub fn terms(&self, longest: f64) -> Terms {
-        Terms {
-            lease: micros(self.lease_ms),
+    pub fn terms(&self, longest: f64) -> LeaseSettings {
+        LeaseSettings {
+            duration: micros(self.lease_ms),
             drift: self.drift,
             slack: micros(2.0 * self.tick_ms),
-            gap: micros(self.gap_ms),
-            longest: micros(longest),
+            max_clock_divergence: micros(self.gap_ms),
+            max_request_deadline: micros(longest),
         }
     }
 
@@ -431,17 +433,18 @@
         sites.dedup();
         let site = |name: &str| sites.iter().position(|s| *s == name).unwrap_or(0) as u16;
         let fronts = self.front.iter();
-        let fronts = fronts.map(|f| Front { id: FrontId::of(&f.name), site: site(&f.site), votes: f.votes });
+        let fronts =
+            fronts.map(|f| Front { id: FrontId::from_name(&f.name), site: site(&f.site), votes: f.votes });
         let mut floors = std::collections::BTreeMap::new();
         for budget in &self.budget {
             let kind = budget.kind()?;
             // One unit over the burst: a floor below it is of no use. Windows and wholes in parts have no least one.
-            let least = match kind.spent() {
-                Spent::Window => 1,
-                _ => (f64::from(WHOLE) / budget.burst).ceil().clamp(1.0, f64::from(WHOLE)) as u32,
+            let least = match kind.spending_model() {
+                SpendingModel::SlidingWindow => 1,
+                _ => (f64::from(TOTAL) / budget.burst).ceil().clamp(1.0, f64::from(TOTAL)) as u32,
             };
-            let parts = (budget.floor * f64::from(WHOLE)) as u32;
-            floors.insert(kind, FloorRule { parts, least });
+            let parts = (budget.floor * f64::from(TOTAL)) as u32;
+            floors.insert(kind, MinimumRule { set_aside: parts, unit: least });
         }
         Ok(Settings {
             version: self.version,
@@ -457,8 +460,11 @@
     /// Sites as all fronts have to agree on them; none without fronts that are of one.
     fn watched(&self) -> Option<Rules> {
         let table = self.sites.as_ref()?;
-        let fronts: BTreeMap<FrontId, SiteId> =
-            self.fronts_of_sites().into_iter().map(|(name, site)| (FrontId::of(&name), site)).collect();
+        let fronts: BTreeMap<FrontId, SiteId> = self
+            .fronts_of_sites()
+            .into_iter()
+            .map(|(name, site)| (FrontId::from_name(&name), site))
+            .collect();
         (!fronts.is_empty()).then_some(Rules {
             sites: self.site.len() as u16,
             patience: table.patience_ms as u64,
@@ -505,8 +511,11 @@
     fn a_good_file_is_read() {
         let config = FleetConfig::parse(GOOD).unwrap();
         let settings = config.settings(3000.0).unwrap();
-        assert_eq!(settings.floors, [(Kind::Retries, FloorRule { parts: 200_000, least: 20_000 })]);
-        assert_eq!((settings.terms.lease, settings.tick), (2_000_000, 50_000));
+        assert_eq!(
+            settings.floors,
+            [(BudgetKind::Retries, MinimumRule { set_aside: 200_000, unit: 20_000 })]
+        );
+        assert_eq!((settings.terms.duration, settings.tick), (2_000_000, 50_000));
     }
 
     #[rstest]
--- a/front/src/fleet/look.rs
+++ b/front/src/fleet/look.rs
@@ -10,12 +10,12 @@
 use std::time::Duration;
 
 use arc_swap::ArcSwapOption;
-use elmtide_budgets::{Clocks, FrontId, WHOLE};
+use elmtide_budgets::{Clocks, FrontId, TOTAL};
 use elmtide_fleet::Status;
 use elmtide_peers::Liveness;
 use serde::{Deserialize, Serialize};
 
-use crate::engine::spending::Report;
+use crate::fleet_link::EngineReport;
 use crate::process::spawn;
 
 const PATIENCE: Duration = Duration::from_secs(7);
@@ -86,11 +86,11 @@
 }
 
 fn part(parts: u32) -> f64 {
-    f64::from(parts) / f64::from(WHOLE)
+    f64::from(parts) / f64::from(TOTAL)
 }
 
-fn budget(key: &elmtide_budgets::Key) -> String {
-    match key.id {
+fn budget(key: &elmtide_budgets::BudgetId) -> String {
+    match key.resource {
         0 => key.kind.name().to_owned(),
         id => format!("{}:{id:016x}", key.kind.name()),
     }
@@ -99,23 +99,23 @@
 impl Shown {
     pub fn new(
         status: Status,
-        report: &Report,
+        report: &EngineReport,
         names: &BTreeMap<FrontId, String>,
         crowded: u64,
         now: Clocks,
     ) -> Shown {
         let name = |front: &FrontId| names.get(front).cloned().unwrap_or_else(|| format!("{:016x}", front.0));
-        let left = report.lease_ends.map(|ends| ends.saturating_sub(now.steady) as f64 / 1000.0);
+        let left = report.lease_expiry.map(|ends| ends.saturating_sub(now.monotonic) as f64 / 1000.0);
         let why = |share: u32| match (share, left) {
             (_, Some(left)) if left > 0.0 && share > 0 => "leased",
             (_, Some(left)) if left > 0.0 => "wants nothing, or all is given",
             _ => "no lease: floor only",
         };
-        let own = report.parts.iter().map(|(key, share, floor)| ShownPart {
-            budget: budget(key),
-            share: part(*share),
-            floor: part(*floor),
-            why: why(*share).to_owned(),
+        let own = report.quotas.iter().map(|quota| ShownPart {
+            budget: budget(&quota.budget),
+            share: part(quota.leased),
+            floor: part(quota.minimum),
+            why: why(quota.leased).to_owned(),
         });
         let agreed = status.shares.iter().map(|(holder, key, counted, told)| ShownShare {
             front: name(&holder.front),
--- a/front/src/fleet/mod.rs
+++ b/front/src/fleet/mod.rs
@@ -5,9 +5,9 @@
 pub mod hooks;
 pub mod look;
 pub mod probe;
-pub mod record;
 pub mod runner;
 pub mod sites;
+pub mod spend_log;
 pub mod standing;
 pub mod work;
 
--- a/front/src/fleet/runner.rs
+++ b/front/src/fleet/runner.rs
@@ -10,7 +10,7 @@
 
 use arc_swap::ArcSwapOption;
 use crossbeam_channel::{bounded, Receiver, Sender};
-use elmtide_budgets::{Clocks, Command, FrontId, Terms};
+use elmtide_budgets::{BudgetCommand, Clocks, FrontId, LeaseSettings};
 use elmtide_fleet::member::Event;
 use elmtide_fleet::{Change, Config, Kept, Member, Output, Settings};
 use elmtide_sites::{Rules, SiteId, Standing, Watcher};
@@ -19,17 +19,18 @@
 use elmtide_work::{MachineId, Said, Viewer};
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 
-use crate::engine::spending::{OwnSite, Report, Spending};
+use crate::engine::budget_client::BudgetClient;
 use crate::engine::working::Working;
-use crate::exchange::{FleetNews, Input};
+use crate::exchange::Input;
 use crate::fleet::config::FleetConfig;
 use crate::fleet::hooks::Hooks;
 use crate::fleet::look::{self, Shown};
 use crate::fleet::probe;
-use crate::fleet::record::Recorder;
 use crate::fleet::sites::{Sites, SitesEntry};
+use crate::fleet::spend_log::SpendLog;
 use crate::fleet::standing::Watched;
 use crate::fleet::work::{self, Names, Reply, Request};
+use crate::fleet_link::{EngineReport, FleetUpdate, OwnSiteState, Waker};
 use crate::memory::counters::Counters;
 use crate::memory::ledger::LIVES;
 use crate::process::{clock, spawn};
@@ -66,21 +67,11 @@
     waker: Waker,
 }
 
-/// Wakes the thread from its wait: an empty datagram to itself.
-#[derive(Debug)]
-pub struct Waker(UdpSocket, SocketAddr);
-
-impl Waker {
-    pub fn wake(&self) {
-        let _ = self.0.send_to(&[], self.1);
-    }
-}
-
 impl Fleet {
     /// Gives back what this front holds; the engine spends no share any more. Waits until the others know, or for half a second.
     pub fn leave(&self, inputs: &Sender<Input>) {
         let (closed, done) = bounded(1);
-        if inputs.send(Input::Fleet(FleetNews::Close(closed))).is_err() {
+        if inputs.send(Input::Fleet(FleetUpdate::Close(closed))).is_err() {
             return;
         }
         if done.recv_timeout(LEAVE).is_err() {
@@ -101,12 +92,12 @@
     addresses: BTreeMap<FrontId, SocketAddr>,
     names: BTreeMap<FrontId, String>,
     inputs: Sender<Input>,
-    reports: Receiver<Report>,
+    reports: Receiver<EngineReport>,
     orders: Receiver<Order>,
     leaving: Option<Sender<()>>,
     shown: Arc<ArcSwapOption<Shown>>,
     show_at: Instant,
-    report: Report,
+    report: EngineReport,
     /// For a member that has to begin anew.
     begin: Begin,
     stale: u64,
@@ -133,7 +124,7 @@
         table: &SitesEntry,
         rules: &Rules,
         name: &str,
-        terms: Terms,
+        terms: LeaseSettings,
         longest: f64,
         counters: Arc<Counters>,
     ) -> Result<Watch, String> {
@@ -148,21 +139,21 @@
         let boxes = boxes.map(|(place, s)| (SiteId(place as u16), s.boxes.clone())).collect();
         probe::start(boxes, silence, &heard).map_err(|e| e.to_string())?;
         let others = (0..config.site.len()).filter(|place| others(*place)).map(|p| SiteId(p as u16));
-        let watcher = Watcher::new(silence.as_micros() as u64, others, clock::both().steady);
+        let watcher = Watcher::new(silence.as_micros() as u64, others, clock::both().monotonic);
         let of = rules.fronts.clone();
         Ok(Watch { watched, watcher, of, probes, counters, back_since: None })
     }
 
     /// What is said now.
-    fn said(&mut self, heard: Vec<FrontId>, own: OwnSite, now: Clocks) -> elmtide_sites::Said {
+    fn said(&mut self, heard: Vec<FrontId>, own: OwnSiteState, now: Clocks) -> elmtide_sites::Said {
         for front in heard {
             if let Some(site) = self.of.get(&front) {
-                self.watcher.heard_front(*site, front.0, now.steady);
+                self.watcher.heard_front(*site, front.0, now.monotonic);
             }
         }
         while let Ok(heard) = self.probes.try_recv() {
             // One box is as good as all: which of them are gone is the matter of their own fronts.
-            self.watcher.heard_box(heard.site, 0, heard.late, now.steady);
+            self.watcher.heard_box(heard.site, 0, heard.late, now.monotonic);
         }
         let step = self.watched.now();
         let view = step.holding.view.as_ref();
@@ -173,11 +164,11 @@
         };
         let bus = self.counters.bus_heard.load(Relaxed);
         elmtide_sites::Said {
-            words: self.watcher.words(now.steady),
+            words: self.watcher.words(now.monotonic),
             seen: view.map(|v| v.number),
             caught_up: self.back_since.is_some_and(|since| bus > since),
-            warm: own.warm,
-            strained: own.strained,
+            warm: own.caches_warm,
+            strained: own.overloaded,
         }
     }
 }
@@ -221,7 +212,7 @@
 /// The running fleet, and the engine's sides of it.
 pub struct Started {
     pub fleet: Fleet,
-    pub spending: Box<Spending>,
+    pub budgets: Box<BudgetClient>,
     /// None where no machine goes out for work.
     pub working: Option<Box<Working>>,
     /// None where no sites are watched.
@@ -240,7 +231,7 @@
 ) -> Result<Started, String> {
     let own = config.own(name).ok_or_else(|| format!("no [[front]] has the name {name:?}"))?;
     let settings = config.settings(longest)?;
-    let terms: Terms = settings.terms;
+    let terms: LeaseSettings = settings.terms;
     let (store, kept) = match &config.store {
         Some(path) => {
             let (store, kept) = Store::open(path, &config.installation)
@@ -254,7 +245,7 @@
     let socket = UdpSocket::bind(at).map_err(|e| format!("{at}: {e}"))?;
     socket.set_nonblocking(true).map_err(|e| e.to_string())?;
     let at = socket.local_addr().map_err(|e| e.to_string())?;
-    let waker = |socket: &UdpSocket| socket.try_clone().map(|s| Waker(s, at)).map_err(|e| e.to_string());
+    let waker = |socket: &UdpSocket| Waker::new(socket, at).map_err(|e| e.to_string());
     tracing::info!(%at, "fleet: listens");
     let settings_on = settings.work.is_some();
     let machines = settings.work.iter().flat_map(|(specs, _)| specs);
@@ -273,7 +264,7 @@
     let watched = watch.as_ref().map(|w| w.watched.clone());
     let sites_on = watch.is_some();
     let begin = Begin {
-        me: FrontId::of(name),
+        me: FrontId::from_name(name),
         installation: config.installation.clone(),
         key: config.key()?,
         settings,
@@ -288,7 +279,7 @@
         (orders_in.clone(), config.front.iter().map(|f| f.name.clone()).collect::<Vec<_>>());
     let forget = move |name: &str| match names.iter().any(|n| n == name) {
         true => Err(format!("{name} is in this front's file: take it out of the list first")),
-        false => forgets.try_send(Order::Forget(FrontId::of(name))).map_err(|e| e.to_string()),
+        false => forgets.try_send(Order::Forget(FrontId::from_name(name))).map_err(|e| e.to_string()),
     };
     let asks = orders_in.clone();
     let wakes = waker(&socket)?;
@@ -310,26 +301,26 @@
         })
     };
     look::listen(&path, shown.clone(), forget, work).map_err(|e| format!("{}: {e}", path.display()))?;
-    let record = config.record.as_deref().map(Recorder::start).transpose()?;
+    let record = config.record.as_deref().map(SpendLog::start).transpose()?;
     let site = config.own(name).map_or("", |own| &own.site);
     let wholes = config.budget.iter().map(|b| b.whole(site)).collect::<Result<Vec<_>, _>>()?;
     let wholes = wholes.into_iter().flatten().collect();
     let kinds = config.budget.iter().map(|b| b.kind()).collect::<Result<Vec<_>, _>>()?;
-    let spending = Box::new(Spending::new(terms, wholes, kinds, reports_in, waker(&socket)?, record));
+    let budgets = Box::new(BudgetClient::new(terms, wholes, kinds, reports_in, waker(&socket)?, record));
     let fleet = Fleet { orders: orders_in, waker: waker(&socket)? };
     let mut runner = Runner {
         socket,
         member,
         store,
-        addresses: config.front.iter().map(|f| (FrontId::of(&f.name), f.address)).collect(),
-        names: config.front.iter().map(|f| (FrontId::of(&f.name), f.name.clone())).collect(),
+        addresses: config.front.iter().map(|f| (FrontId::from_name(&f.name), f.address)).collect(),
+        names: config.front.iter().map(|f| (FrontId::from_name(&f.name), f.name.clone())).collect(),
         inputs,
         reports,
         orders,
         leaving: None,
         shown,
         show_at: Instant::now(),
-        report: Report::default(),
+        report: EngineReport::default(),
         begin,
         stale: 0,
         crowded: 0,
@@ -355,7 +346,7 @@
         }
     };
     spawn("fleet", run).map_err(|e| e.to_string())?;
-    Ok(Started { fleet, spending, working, watched })
+    Ok(Started { fleet, budgets, working, watched })
 }
 
 impl Runner {
@@ -382,7 +373,7 @@
     }
 
     fn wait(&self) {
-        let left = Duration::from_micros(self.member.due().saturating_sub(clock::both().steady));
+        let left = Duration::from_micros(self.member.due().saturating_sub(clock::both().monotonic));
         let left = left.clamp(Duration::from_micros(200), WAIT);
         let timeout = Timespec { tv_sec: 0, tv_nsec: left.as_nanos() as _ };
         let _ = poll(&mut [PollFd::new(&self.socket, PollFlags::IN)], Some(&timeout));
@@ -417,11 +408,11 @@
     fn listen(&mut self) {
         while let Ok(report) = self.reports.try_recv() {
             let now = clock::both();
-            if let Some(number) = report.number {
-                self.member.applied(number, report.floors, now);
+            if let Some(number) = report.quota_epoch {
+                self.member.applied(number, report.minimums_epoch, now);
             }
-            self.member.wants(report.wants.clone());
-            if let Some(said) = &report.said {
+            self.member.wants(report.demands.clone());
+            if let Some(said) = &report.maintenance {
                 self.work.said = said.clone();
             }
             self.report = report;
@@ -432,7 +423,7 @@
         }
         if let Some(watch) = &mut self.watch {
             let now = clock::both();
-            let said = watch.said(self.member.take_heard(), self.report.site, now);
+            let said = watch.said(self.member.take_heard(), self.report.own_site, now);
             self.member.says_of_sites(said, now);
         }
         while let Ok(order) = self.orders.try_recv() {
@@ -452,7 +443,7 @@
                 }
                 Order::Work(request, told) => self.on_request(*request, told, now),
                 Order::Forget(front) => {
-                    self.member.submit(Change::Budgets(Command::Forget { front }), now);
+                    self.member.submit(Change::Budgets(BudgetCommand::RemoveFront { front }), now);
                 }
             }
         }
@@ -477,16 +468,16 @@
                 Output::Floors(floors) => match self.store.as_ref().map(|s| s.keep_floors(&floors)) {
                     // What is not kept is not used, and not said to be: others wait for a smaller one to be.
                     Some(Err(why)) => tracing::error!(%why, "fleet: floors can't be kept"),
-                    _ => self.tell(FleetNews::Floors(floors)),
+                    _ => self.tell(FleetUpdate::Minimums(floors)),
                 },
-                Output::Spend(grant) => self.tell(FleetNews::Grant(grant)),
+                Output::Spend(grant) => self.tell(FleetUpdate::Grant(grant)),
                 Output::View(mut told) => {
                     if let Some(details) = told.view.details.take() {
                         self.work.details = Some((Instant::now(), *details));
                         let shown = self.shown_work();
                         self.work.lookers.drain(..).for_each(|l| drop(l.try_send(shown.clone())));
                     }
-                    self.tell(FleetNews::View(told));
+                    self.tell(FleetUpdate::Maintenance(told));
                 }
                 Output::Sites(told) => {
                     if let Some(watch) = &self.watch {
@@ -544,7 +535,7 @@
         serde_json::to_string(&shown).unwrap_or_default()
     }
 
-    fn tell(&self, news: FleetNews) {
+    fn tell(&self, news: FleetUpdate) {
         // The engine may be behind: a grant that finds no room is asked for again.
         let _ = self.inputs.try_send(Input::Fleet(news));
     }
@@ -566,7 +557,7 @@
         match begun.and_then(|kept| self.begin.member(kept)) {
             Ok(member) => {
                 self.member = member;
-                self.tell(FleetNews::Reset);
+                self.tell(FleetUpdate::Reset);
             }
             Err(why) => tracing::error!(%why, "fleet: can't begin anew"),
         }
--- a/front/src/fleet/standing.rs
+++ b/front/src/fleet/standing.rs
@@ -7,7 +7,7 @@
 use arc_swap::ArcSwap;
 use crossbeam_channel::{bounded, Sender};
 use elmtide::Ms;
-use elmtide_budgets::Terms;
+use elmtide_budgets::LeaseSettings;
 use elmtide_sites::{plan, Directions, Holding, Loss, NoPlan, Plan, SiteId, Standing, Told, View};
 
 use crate::edge::config::{EdgeConfig, FrontEntry};
@@ -54,7 +54,7 @@
     pub own: Option<SiteId>,
     own_name: String,
     fronts: Vec<(String, SiteId)>,
-    terms: Terms,
+    terms: LeaseSettings,
     /// How long a key may be asked again, in milliseconds.
     life: Ms,
     refused_ms: u64,
@@ -74,7 +74,7 @@
         sites: Sites,
         fronts: Vec<(String, SiteId)>,
         own: &str,
-        terms: Terms,
+        terms: LeaseSettings,
         life: Ms,
         refused: Ms,
     ) -> std::io::Result<Arc<Watched>> {
@@ -163,7 +163,7 @@
             let now = clock::unix_ms();
             next.formers.retain(|(_, until)| *until > now);
             // Whoever had a key before may be taking it until its lease is over, and running it for as long as a key lives.
-            let until = now + self.terms.outwaited(self.terms.lease) as f64 / 1000.0 + self.life;
+            let until = now + self.terms.safe_expiry(self.terms.duration) as f64 / 1000.0 + self.life;
             let quiet = view.sites.iter().all(|(_, since)| since.at == 0);
             match first {
                 true if quiet => {}
@@ -265,7 +265,7 @@
             _ => {
                 // Without contact nobody here knows who else takes it.
                 if !self.is_leased(now) {
-                    return Owner::NotYet(came + self.terms.lease as f64 / 1000.0);
+                    return Owner::NotYet(came + self.terms.duration as f64 / 1000.0);
                 }
                 let elsewhere = |lost: &Option<BTreeSet<String>>| match lost {
                     Some(lost) => among(lost).is_some_and(|o| o.name != self.own_name),
--- a/front/src/fleet/work.rs
+++ b/front/src/fleet/work.rs
@@ -84,7 +84,7 @@
                 Command::CallOff { job: JobId(job), machine: machine.map(|m| MachineId::of(&m)) }
             }
             Request::Reorder { job, machines } => Command::Reorder { job: JobId(job), first: ids(machines) },
-            Request::Off { front } => Command::Off { front: FrontId::of(&front) },
+            Request::Off { front } => Command::Off { front: FrontId::from_name(&front) },
             // Not of work: an empty list is refused.
             Request::SiteLost { .. } | Request::SiteClear { .. } => Command::Out {
                 machines: Vec::new(),
@@ -122,7 +122,7 @@
     pub fn of(config: &FleetConfig) -> Names {
         Names {
             machines: config.machine.iter().map(|m| (MachineId::of(&m.name), m.name.clone())).collect(),
-            fronts: config.front.iter().map(|f| (FrontId::of(&f.name), f.name.clone())).collect(),
+            fronts: config.front.iter().map(|f| (FrontId::from_name(&f.name), f.name.clone())).collect(),
         }
     }
 
--- a/front/src/lifecycle/serve.rs
+++ b/front/src/lifecycle/serve.rs
@@ -94,8 +94,8 @@
     let engine = Engine::new(config.settings.clone(), config.seed, pool, counters.clone()).naming(names);
     let (fleet, engine, sites) = match begin_fleet(&second.fleet, &config, &inputs, &counters)? {
         None => (None, engine, None),
-        Some(fleet::Started { fleet, spending, working, watched }) => {
-            (Some(fleet), engine.sharing(Some(spending)).keeping_off(working), watched)
+        Some(fleet::Started { fleet, budgets, working, watched }) => {
+            (Some(fleet), engine.with_budgets(Some(budgets)).keeping_off(working), watched)
         }
     };
     let stopped = start_engine(engine, events)?;
--- a/front/src/main.rs
+++ b/front/src/main.rs
@@ -5,6 +5,7 @@
 mod engine;
 mod exchange;
 mod fleet;
+mod fleet_link;
 mod lifecycle;
 mod memory;
 mod process;
--- a/front/src/process/clock.rs
+++ b/front/src/process/clock.rs
@@ -24,7 +24,7 @@
         // A thread that lost its processor between the two would see them apart.
         if after - before < Duration::from_millis(1) || tries >= 4 {
             let steady = ABOVE + (before - origin).as_micros() as u64;
-            return Clocks { steady, wall: wall.as_micros() as u64 };
+            return Clocks { monotonic: steady, wall: wall.as_micros() as u64 };
         }
     }
 }
--- a/front/tests/fleet.rs
+++ b/front/tests/fleet.rs
@@ -226,7 +226,7 @@
     fleet.start_front(victim).unwrap();
     let again = load(&fleet, victim, 30.0);
     fleet.wait_shares(&[victim], RETRIES, 0.01).unwrap();
-    let me = |f: usize| FrontId::of(NAME[f]);
+    let me = |f: usize| FrontId::from_name(NAME[f]);
     let key: Vec<u8> = (0..16u8).map(|n| n * 0x11).collect();
     let fronts = || (0..3).map(me);
     let mut foreign = Frames::new(&key, "elsewhere", me(victim), u64::MAX / 2, fronts());
--- a/lab/src/schedules.rs
+++ b/lab/src/schedules.rs
@@ -4,12 +4,12 @@
 use std::sync::Mutex;
 use std::time::Instant;
 
-use elmtide_budgets::{Key, Kind};
+use elmtide_budgets::{BudgetId, BudgetKind};
 use elmtide_model::schedule::{play, play_work, Rough};
 use elmtide_model::sites::play_sites;
 use elmtide_model::{Disk, Report, Setup, World};
 
-const KEY: Key = Key { kind: Kind::Retries, id: 0 };
+const KEY: BudgetId = BudgetId { kind: BudgetKind::Retries, resource: 0 };
 
 #[derive(Default)]
 struct Sum {
@@ -115,8 +115,8 @@
     for (_, whole) in &mut setup.budgets {
         (whole.rate, whole.burst) = (FETCHES, burst);
     }
-    setup.floors[0].1.least = (1e6 / burst).ceil() as u32;
-    setup.floors[0].1.parts = 100_000;
+    setup.floors[0].1.unit = (1e6 / burst).ceil() as u32;
+    setup.floors[0].1.set_aside = 100_000;
     let mut world = World::new(setup);
     (0..fronts).for_each(|front| world.demand(front, KEY, each));
     world.run(30 * SECOND);
--- a/lab/src/work.rs
+++ b/lab/src/work.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::Ordering::Relaxed;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use elmtide_budgets::{FrontId, Holder, Incarnation, Number};
+use elmtide_budgets::{Epoch, FrontId, HolderId, Incarnation};
 use elmtide_standins::fleet::{cold_settings, Fleet, Plan, NAME};
 use elmtide_standins::links::Way;
 use elmtide_standins::node::{runs, Behaviour, Node};
@@ -348,11 +348,11 @@
         state.apply(&Command::Layout { version: 1, machines: specs, bounds }).map_err(refused)?;
         let mut conductor = Conductor::new();
         for front in 0..50u64 {
-            let holder = Holder { front: FrontId(front), incarnation: Incarnation(1) };
+            let holder = HolderId { front: FrontId(front), incarnation: Incarnation(1) };
             state.joined(holder);
             let sight = Sight { warm: 100, load: 1, work: Work::Done, ..Sight::default() };
             let sights = ids.iter().skip(front as usize * 4).take(40).map(|m| (*m, sight)).collect();
-            let said = Said { seen: Some(Number(0)), sights, ..Said::default() };
+            let said = Said { seen: Some(Epoch(0)), sights, ..Said::default() };
             conductor.on_said(&state, holder, said, 0);
         }
         let job = Command::Out {
--- a/model/src/schedule.rs
+++ b/model/src/schedule.rs
@@ -1,13 +1,13 @@
 //! Faults drawn from a seed: kills with stores kept or lost, stalls, sleeps, splits, one-way cuts, loss, clocks, steps of demand.
 
-use elmtide_budgets::{Key, Kind};
+use elmtide_budgets::{BudgetId, BudgetKind};
 use elmtide_work::{Command, JobId, MachineId};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
 use crate::world::{Disk, Machines, Net, Report, Setup, World};
 
-const KEY: Key = Key { kind: Kind::Retries, id: 0 };
+const KEY: BudgetId = BudgetId { kind: BudgetKind::Retries, resource: 0 };
 
 /// How rough a schedule is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/model/src/sites.rs
+++ b/model/src/sites.rs
@@ -128,14 +128,14 @@
         let Some((member, looker)) = self.looker(node) else { return };
         for front in member.take_heard() {
             if let Some(other) = ids.iter().position(|id| *id == front).filter(|n| n % count != own) {
-                looker.watcher.heard_front(SiteId((other % count) as u16), front.0, clocks.steady);
+                looker.watcher.heard_front(SiteId((other % count) as u16), front.0, clocks.monotonic);
             }
         }
         for site in reached {
-            looker.watcher.heard_box(SiteId(site as u16), 0, false, clocks.steady);
+            looker.watcher.heard_box(SiteId(site as u16), 0, false, clocks.monotonic);
         }
         let said = elmtide_sites::Said {
-            words: looker.watcher.words(clocks.steady),
+            words: looker.watcher.words(clocks.monotonic),
             seen: looker.holding.view.as_ref().map(|v| v.number),
             caught_up: true,
             warm,
--- a/model/src/world.rs
+++ b/model/src/world.rs
@@ -3,10 +3,13 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
-use elmtide_budgets::lessee::Floors;
-use elmtide_budgets::purse::Whole;
-use elmtide_budgets::state::FloorRule;
-use elmtide_budgets::{Clocks, FrontId, Key, Kind, Micros, Parts, Purse, Terms, WHOLE};
+use elmtide_budgets::GuaranteedMinimums;
+use elmtide_budgets::MinimumRule;
+use elmtide_budgets::TotalLimit;
+use elmtide_budgets::{
+    BudgetId, BudgetKind, Clocks, FrontId, LeaseSettings, Micros, PartsPerMillion, Priority, QuotaLedger,
+    TOTAL,
+};
 use elmtide_consensus::records::StorageUpdate;
 use elmtide_consensus::VoterId;
 use elmtide_fleet::member::Event as Said;
@@ -51,8 +54,8 @@
     pub tick: Micros,
     pub lease: Micros,
     /// Budgets that every front knows from the start.
-    pub budgets: Vec<(Key, Whole)>,
-    pub floors: Vec<(Kind, FloorRule)>,
+    pub budgets: Vec<(BudgetId, TotalLimit)>,
+    pub floors: Vec<(BudgetKind, MinimumRule)>,
     /// Time a sync takes.
     pub sync: Micros,
     /// Machines that may go out for work.
@@ -63,9 +66,9 @@
 
 impl Setup {
     pub fn new(fronts: usize, seed: u64) -> Setup {
-        let retries = Key { kind: Kind::Retries, id: 0 };
-        let whole = Whole { rate: 100.0, burst: 100.0, span: 1_000_000 };
-        let floor = FloorRule { parts: 200_000, least: 10_000 };
+        let retries = BudgetId { kind: BudgetKind::Retries, resource: 0 };
+        let whole = TotalLimit { rate: 100.0, burst: 100.0, window: 1_000_000 };
+        let floor = MinimumRule { set_aside: 200_000, unit: 10_000 };
         Setup {
             fronts,
             voters: if fronts >= 5 { 5 } else { 3.min(fronts) },
@@ -73,20 +76,20 @@
             tick: 50_000,
             lease: 2_000_000,
             budgets: vec![(retries, whole)],
-            floors: vec![(Kind::Retries, floor)],
+            floors: vec![(BudgetKind::Retries, floor)],
             sync: 2_000,
             machines: None,
             sites: None,
         }
     }
 
-    pub fn terms(&self) -> Terms {
-        Terms {
-            lease: self.lease,
+    pub fn terms(&self) -> LeaseSettings {
+        LeaseSettings {
+            duration: self.lease,
             drift: 0.001,
             slack: 2 * self.tick,
-            gap: self.tick / 2,
-            longest: self.lease,
+            max_clock_divergence: self.tick / 2,
+            max_request_deadline: self.lease,
         }
     }
 }
@@ -114,7 +117,7 @@
 struct Node {
     id: FrontId,
     member: Option<Member>,
-    purse: Purse,
+    purse: QuotaLedger,
     store: Store,
     clock: Clock,
     /// Which run of the process it is, for events that are meant for an earlier one.
@@ -122,7 +125,7 @@
     stalled_until: Micros,
     settings: Settings,
     /// Units a second that are wanted, by budget.
-    demand: BTreeMap<Key, f64>,
+    demand: BTreeMap<BudgetId, f64>,
     wake_at: Micros,
     /// Parts of the wants that were served.
     tried: u64,
@@ -141,7 +144,7 @@
     Arrive { to: usize, bytes: Vec<u8> },
     Wake { node: usize, run: u64 },
     Synced { node: usize, run: u64, what: usize },
-    Spend { node: usize, key: Key },
+    Spend { node: usize, key: BudgetId },
     Report { node: usize, run: u64 },
     Send { node: usize },
 }
@@ -187,8 +190,8 @@
     pub seed: u64,
     /// Windows that held more than they may, and moments at which parts summed to more than the whole.
     pub over: Vec<String>,
-    pub spent: BTreeMap<Key, f64>,
-    pub closest: BTreeMap<Key, f64>,
+    pub spent: BTreeMap<BudgetId, f64>,
+    pub closest: BTreeMap<BudgetId, f64>,
     /// The largest sum of parts in force, of the whole.
     pub largest: f64,
     pub datagrams: u64,
@@ -202,7 +205,7 @@
 enum Pending {
     Log(Box<StorageUpdate>),
     Number(VoterId),
-    Floors(Floors),
+    Floors(GuaranteedMinimums),
 }
 
 pub struct World {
@@ -216,7 +219,7 @@
     cuts: BTreeSet<(usize, usize)>,
     pending: BTreeMap<usize, Pending>,
     next_pending: usize,
-    spends: Spends<Key>,
+    spends: Spends<BudgetId>,
     report: Report,
     /// Digest of all that happened.
     hash: u64,
@@ -234,7 +237,7 @@
 
 impl World {
     pub fn new(setup: Setup) -> World {
-        let ids: Vec<FrontId> = (0..setup.fronts).map(|n| FrontId::of(&format!("n{n}"))).collect();
+        let ids: Vec<FrontId> = (0..setup.fronts).map(|n| FrontId::from_name(&format!("n{n}"))).collect();
         let settings = World::settings(&setup, &ids, 1);
         let mut world = World {
             now: 1_000_000,
@@ -267,7 +270,7 @@
             world.nodes.push(Node {
                 id,
                 member: None,
-                purse: Purse::new(world.setup.terms()),
+                purse: QuotaLedger::new(world.setup.terms()),
                 store: Store::default(),
                 clock: Clock { ppm, ..Clock::default() },
                 run: 0,
@@ -317,7 +320,7 @@
         let gone = self.now as f64 * (1.0 + clock.ppm / 1e6);
         let steady = (gone as Micros).saturating_sub(clock.stood);
         let wall = (gone as i64 + clock.set + 1_000_000_000_000).max(0) as Micros;
-        Clocks { steady, wall }
+        Clocks { monotonic: steady, wall }
     }
 
     // ---- Faults ----
@@ -330,9 +333,9 @@
         place.run += 1;
         place.store.kept.incarnation += 1;
         place.store.kept.lasting = true;
-        place.purse = Purse::new(terms);
+        place.purse = QuotaLedger::new(terms);
         for (key, whole) in &self.setup.budgets {
-            place.purse.know(*key, *whole, clocks);
+            place.purse.configure_budget(*key, *whole, clocks);
         }
         let config = Config {
             me: place.id,
@@ -346,7 +349,7 @@
         place.stalled_until = 0;
         place.wake_at = Micros::MAX;
         place.open.clear();
-        place.looker = self.sites.as_ref().map(|s| Looker::new(s.count, node % s.count, clocks.steady));
+        place.looker = self.sites.as_ref().map(|s| Looker::new(s.count, node % s.count, clocks.monotonic));
         if let Some(machines) = &self.machines {
             let first = place.viewer.is_none();
             place.viewer =
@@ -379,7 +382,7 @@
             }
         }
         let demand = place.demand.clone();
-        place.purse = Purse::new(self.setup.terms());
+        place.purse = QuotaLedger::new(self.setup.terms());
         place.demand = demand;
     }
 
@@ -417,10 +420,10 @@
         self.nodes[node].clock.ppm = ppm;
         let after = self.clocks(node);
         let clock = &mut self.nodes[node].clock;
-        if after.steady > before.steady {
-            clock.stood += after.steady - before.steady;
+        if after.monotonic > before.monotonic {
+            clock.stood += after.monotonic - before.monotonic;
         } else {
-            clock.stood = clock.stood.saturating_sub(before.steady - after.steady);
+            clock.stood = clock.stood.saturating_sub(before.monotonic - after.monotonic);
         }
         clock.set += before.wall as i64 - after.wall as i64;
     }
@@ -465,7 +468,7 @@
         self.nodes[node].settings = World::settings(&self.setup, &ids, version);
     }
 
-    pub fn demand(&mut self, node: usize, key: Key, rate: f64) {
+    pub fn demand(&mut self, node: usize, key: BudgetId, rate: f64) {
         let before = self.nodes[node].demand.insert(key, rate);
         if rate > 0.0 && before.unwrap_or(0.0) <= 0.0 {
             self.push(self.now, Event::Spend { node, key });
@@ -555,7 +558,7 @@
                     return;
                 }
                 let place = &mut self.nodes[node];
-                let wants = place.purse.wants(clocks);
+                let wants = place.purse.demands(clocks);
                 if let Some(member) = &mut place.member {
                     member.wants(wants);
                 }
@@ -593,13 +596,13 @@
             }
             Some(Pending::Floors(floors)) if kept => {
                 place.store.kept.floors = floors.clone();
-                place.purse.floors(floors, clocks);
+                place.purse.apply_minimums(floors, clocks);
             }
             _ => {}
         }
     }
 
-    fn spend(&mut self, node: usize, key: Key, clocks: Clocks) {
+    fn spend(&mut self, node: usize, key: BudgetId, clocks: Clocks) {
         let rate = self.nodes[node].demand.get(&key).copied().unwrap_or(0.0);
         if rate <= 0.0 {
             return;
@@ -614,12 +617,12 @@
         place.tried += 1;
         // A breach on purpose: the purse is shown the moment at which its lease began.
         let seen = if place.ignores_lease {
-            let frozen = place.purse.lease_ends(clocks).unwrap_or(clocks.steady);
-            Clocks { steady: clocks.steady.min(frozen), ..clocks }
+            let frozen = place.purse.lease_expiry(clocks).unwrap_or(clocks.monotonic);
+            Clocks { monotonic: clocks.monotonic.min(frozen), ..clocks }
         } else {
             clocks
         };
-        let took = place.purse.take_of_both(key, 1.0, false, seen);
+        let took = place.purse.try_acquire_combined(key, 1.0, Priority::Low, seen);
         if took.is_some() || (place.ignores_lease && self.random.random::<f64>() < 0.5) {
             place.served += 1;
             self.spends.spent(key, 1.0, self.now);
@@ -645,7 +648,7 @@
                     self.nodes[node].store.kept.incarnation = incarnation;
                     return self.start(node);
                 }
-                Output::Spend(grant) => self.nodes[node].purse.grant(grant, clocks),
+                Output::Spend(grant) => self.nodes[node].purse.apply_grant(grant, clocks),
                 Output::View(told) => {
                     if let Some(viewer) = &mut self.nodes[node].viewer {
                         viewer.take(&told, clocks);
@@ -674,8 +677,8 @@
         }
         let place = &mut self.nodes[node];
         if let Some(member) = &mut place.member {
-            if let Some(number) = place.purse.number(clocks) {
-                member.applied(number, place.purse.floors_number(), clocks);
+            if let Some(number) = place.purse.confirmable_epoch(clocks) {
+                member.applied(number, place.purse.minimums_epoch(), clocks);
             }
         }
     }
@@ -708,7 +711,7 @@
         let clocks = self.clocks(node);
         let place = &mut self.nodes[node];
         let Some(member) = &place.member else { return };
-        let left = member.due().saturating_sub(clocks.steady);
+        let left = member.due().saturating_sub(clocks.monotonic);
         let at = self.now + ((left as f64 / (1.0 + place.clock.ppm / 1e6)).ceil() as Micros).max(50);
         if at < place.wake_at {
             place.wake_at = at;
@@ -867,21 +870,21 @@
         self.checked_at = self.now;
         self.check_machines();
         self.look_at_sites();
-        let mut sums: BTreeMap<Key, u64> = BTreeMap::new();
+        let mut sums: BTreeMap<BudgetId, u64> = BTreeMap::new();
         for node in 0..self.nodes.len() {
             let clocks = self.clocks(node);
             let place = &mut self.nodes[node];
             if place.member.is_none() || self.now < place.stalled_until {
                 continue;
             }
-            for (key, share, floor) in place.purse.shown(clocks) {
-                *sums.entry(key).or_default() += u64::from(share) + u64::from(floor);
+            for quota in place.purse.quotas(clocks) {
+                *sums.entry(quota.budget).or_default() += u64::from(quota.leased) + u64::from(quota.minimum);
             }
         }
         for (key, sum) in sums {
-            let of = sum as f64 / f64::from(WHOLE);
+            let of = sum as f64 / f64::from(TOTAL);
             self.report.largest = self.report.largest.max(of);
-            if sum > u64::from(WHOLE) && self.report.over.len() < 20 {
+            if sum > u64::from(TOTAL) && self.report.over.len() < 20 {
                 self.report.over.push(format!("{} us: parts of {key:?} sum to {of:.4}", self.now));
             }
         }
@@ -945,10 +948,10 @@
     }
 
     /// The part that a front may spend by now: share and floor.
-    pub fn part(&mut self, node: usize, key: Key) -> (Parts, Parts) {
+    pub fn part(&mut self, node: usize, key: BudgetId) -> (PartsPerMillion, PartsPerMillion) {
         let clocks = self.clocks(node);
-        let shown = self.nodes[node].purse.shown(clocks);
-        shown.into_iter().find(|(k, ..)| *k == key).map_or((0, 0), |(_, share, floor)| (share, floor))
+        let shown = self.nodes[node].purse.quotas(clocks);
+        shown.into_iter().find(|q| q.budget == key).map_or((0, 0), |q| (q.leased, q.minimum))
     }
 
     /// The first so many fronts vote.
@@ -965,7 +968,7 @@
         self.nodes[node].member.as_ref().map(|m| m.status(clocks))
     }
 
-    pub fn spent(&self, key: Key) -> f64 {
+    pub fn spent(&self, key: BudgetId) -> f64 {
         self.spends.sum(&key)
     }
 
--- a/model/tests/fleet.rs
+++ b/model/tests/fleet.rs
@@ -1,12 +1,12 @@
 //! The fleet in simulated time: that it divides, and that nothing makes it divide more than there is.
 
-use elmtide_budgets::purse::Whole;
-use elmtide_budgets::state::FloorRule;
-use elmtide_budgets::{Key, Kind};
+use elmtide_budgets::MinimumRule;
+use elmtide_budgets::TotalLimit;
+use elmtide_budgets::{BudgetId, BudgetKind};
 use elmtide_model::schedule::{play, Rough};
 use elmtide_model::{Disk, Net, Setup, World};
 
-const KEY: Key = Key { kind: Kind::Retries, id: 0 };
+const KEY: BudgetId = BudgetId { kind: BudgetKind::Retries, resource: 0 };
 const SECOND: u64 = 1_000_000;
 
 fn divided(fronts: usize, seed: u64) -> World {
@@ -191,8 +191,8 @@
 #[test]
 fn a_hundred_of_three_hundred_vanish_at_once() {
     let mut setup = Setup::new(300, 31);
-    setup.budgets = vec![(KEY, Whole { rate: 1500.0, burst: 1500.0, span: SECOND })];
-    setup.floors = vec![(Kind::Retries, FloorRule { parts: 100_000, least: 667 })];
+    setup.budgets = vec![(KEY, TotalLimit { rate: 1500.0, burst: 1500.0, window: SECOND })];
+    setup.floors = vec![(BudgetKind::Retries, MinimumRule { set_aside: 100_000, unit: 667 })];
     let mut world = World::new(setup);
     for node in 0..300 {
         world.demand(node, KEY, 10.0);
--- a/model/tests/worth.rs
+++ b/model/tests/worth.rs
@@ -1,19 +1,19 @@
 //! What sharing is worth where demand is skewed: how much of what an oracle would spend is spent, in simulated time.
 
-use elmtide_budgets::purse::Whole;
-use elmtide_budgets::state::FloorRule;
-use elmtide_budgets::{Key, Kind};
+use elmtide_budgets::MinimumRule;
+use elmtide_budgets::TotalLimit;
+use elmtide_budgets::{BudgetId, BudgetKind};
 use elmtide_model::{Net, Setup, World};
 
-const KEY: Key = Key { kind: Kind::Retries, id: 0 };
+const KEY: BudgetId = BudgetId { kind: BudgetKind::Retries, resource: 0 };
 const SECOND: u64 = 1_000_000;
 
 /// One front wants half of what all want, who together want `demand` of the whole: the part of the lesser of demand and whole
 /// that is spent in 30 s.
 fn used(fronts: usize, demand: f64, net: Net, seed: u64) -> f64 {
     let mut setup = Setup::new(fronts, seed);
-    setup.budgets = vec![(KEY, Whole { rate: 60.0, burst: 60.0, span: SECOND })];
-    setup.floors = vec![(Kind::Retries, FloorRule { parts: 100_000, least: 16_667 })];
+    setup.budgets = vec![(KEY, TotalLimit { rate: 60.0, burst: 60.0, window: SECOND })];
+    setup.floors = vec![(BudgetKind::Retries, MinimumRule { set_aside: 100_000, unit: 16_667 })];
     let mut world = World::new(setup);
     world.net(net);
     for node in 0..fronts {
--- a/store/src/lib.rs
+++ b/store/src/lib.rs
@@ -16,7 +16,7 @@
 use std::fmt;
 use std::path::{Path, PathBuf};
 
-use elmtide_budgets::lessee::Floors;
+use elmtide_budgets::GuaranteedMinimums;
 use elmtide_consensus::records::{HardState, LogEntry, StorageUpdate, StoredLog};
 use elmtide_consensus::VoterId;
 use elmtide_fleet::Kept;
@@ -210,7 +210,7 @@
         self.write(|write| put(write, "voter", &voter))
     }
 
-    pub fn keep_floors(&self, floors: &Floors) -> Result<(), StoreError> {
+    pub fn keep_floors(&self, floors: &GuaranteedMinimums) -> Result<(), StoreError> {
         self.write(|write| put(write, "floors", floors))
     }
 
--- a/store/tests/golden.rs
+++ b/store/tests/golden.rs
@@ -3,8 +3,8 @@
 use std::fs;
 use std::path::PathBuf;
 
-use elmtide_budgets::lessee::Floors;
-use elmtide_budgets::{Kind, Number};
+use elmtide_budgets::GuaranteedMinimums;
+use elmtide_budgets::{BudgetKind, Epoch};
 use elmtide_consensus::records::{HardState, LogEntry, Snapshot as State, StorageUpdate, VoterSet};
 use elmtide_consensus::VoterId;
 use elmtide_golden::GoldenFile;
@@ -50,8 +50,11 @@
     HardState { term: 3, vote: 77, commit: 6 }
 }
 
-fn floors() -> Floors {
-    Floors { number: Number(9), parts: vec![(Kind::Retries, 1000), (Kind::ShopRunning, 20)] }
+fn floors() -> GuaranteedMinimums {
+    GuaranteedMinimums {
+        epoch: Epoch(9),
+        minimums: vec![(BudgetKind::Retries, 1000), (BudgetKind::ShopConcurrency, 20)],
+    }
 }
 
 fn write_all(store: &Store) {
