--- a/store/tests/store.rs
+++ b/store/tests/store.rs
@@ -4,8 +4,8 @@
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicU32, Ordering::Relaxed};
 
-use elmtide_budgets::lessee::Floors;
-use elmtide_budgets::{Kind, Number};
+use elmtide_budgets::GuaranteedMinimums;
+use elmtide_budgets::{BudgetKind, Epoch};
 use elmtide_consensus::records::{Compaction, HardState, LogEntry, Snapshot as State, StorageUpdate};
 use elmtide_consensus::VoterId;
 use elmtide_store::{Store, StoreError};
@@ -58,7 +58,7 @@
     assert_eq!(kept.stored.entries.len(), 8);
     // A later leader's entries take the place of those from an index on.
     store.keep(&StorageUpdate { entries: entries(5, 6, 4), ..StorageUpdate::default() }).unwrap();
-    let floors = Floors { number: Number(9), parts: vec![(Kind::Retries, 1000)] };
+    let floors = GuaranteedMinimums { epoch: Epoch(9), minimums: vec![(BudgetKind::Retries, 1000)] };
     store.keep_floors(&floors).unwrap();
     drop(store);
     let (store, kept) = Store::open(&file.0, "duna").unwrap();
