--- a/core/fleet/src/lib.rs
+++ b/core/fleet/src/lib.rs
@@ -1,21 +1,31 @@
-//! One member of the fleet: what comes by datagram and by the clock goes in, what is to be sent, synced and spent by
-//! comes out. Sockets and files are the caller's.
+//! One node of the fleet: datagrams and the clock go in, what is to be sent, synced and applied comes out. Sockets and files are
+//! the caller's.
 //!
-//! **Invariants: no word of a peer is looked at before its length, its installation's MAC and its replay window are; and nothing
-//! that depends on stable storage leaves before [`Member::synced`].** Both rest on the installation's key being secret and
-//! on a store that keeps what it says it has synced. They do not rest on the network, the clocks, or who seems alive.
+//! **Invariants: no message of a peer is decoded before its length, its installation's MAC and its replay window have been
+//! checked; and nothing that depends on stable storage is sent before [`FleetNode::on_synced`].** Both rest on the
+//! installation's key being secret and on a store that keeps what it has reported as synced. They do not rest on the network,
+//! the clocks, or failure detection.
 //!
-//! - [`frame`]: datagrams: version, MAC, replay window, fragments;
-//! - [`word`]: what members say to each other;
-//! - [`machine`]: the state that the log makes;
-//! - [`member`]: the whole.
+//! - [`datagram`]: version, MAC, replay window, fragments;
+//! - [`message`]: what nodes say to each other;
+//! - [`agreed_state`]: the replicated state of all subsystems;
+//! - [`settings`]: what the configuration says, and what a node recovers from its store;
+//! - [`output`]: what the caller has to do;
+//! - [`node`]: the node itself.
 
-pub mod frame;
-pub mod machine;
-pub mod member;
-pub mod word;
+#![warn(clippy::needless_pass_by_value, clippy::too_many_lines, clippy::fn_params_excessive_bools)]
 
-pub use frame::{Dropped, Frames};
-pub use machine::{Agreed, Change, Outcome};
-pub use member::{Config, Front, Kept, Member, Output, Settings, Status};
-pub use word::Word;
+pub mod agreed_state;
+pub mod datagram;
+pub mod message;
+pub mod node;
+pub mod output;
+pub mod settings;
+
+pub use agreed_state::{AgreedCommand, AgreedState, CommandOutcome};
+pub use datagram::{DatagramCodec, DropReason};
+pub use message::PeerMessage;
+pub use node::status::NodeStatus;
+pub use node::{FleetNode, NodeError, SyncResult, TooManyCommands, Traffic};
+pub use output::{CommandSummary, Event, Output};
+pub use settings::{FleetSettings, FrontSettings, MaintenanceSettings, NodeConfig, RecoveredState};
--- a/core/fleet/tests/golden.rs
+++ b/core/fleet/tests/golden.rs
@@ -5,9 +5,9 @@
 use elmtide_budgets::{LeaseRequest, LeaseResponse};
 use elmtide_consensus::message::{Message, MessageKind};
 use elmtide_consensus::{CommandId, StateMachine, VoterId};
-use elmtide_fleet::frame::Frames;
-use elmtide_fleet::word::Hello;
-use elmtide_fleet::{Agreed, Change, Outcome, Word};
+use elmtide_fleet::message::VoterHello;
+use elmtide_fleet::DatagramCodec;
+use elmtide_fleet::{AgreedCommand, AgreedState, CommandOutcome, PeerMessage};
 use elmtide_golden::GoldenFile;
 use elmtide_sites::state::{SiteId, Standing};
 use elmtide_sites::view::Since;
@@ -184,24 +184,31 @@
     }
 }
 
-fn messages() -> Vec<(&'static str, Word)> {
+fn messages() -> Vec<(&'static str, PeerMessage)> {
     let id = CommandId { client: 1, incarnation: 3, sequence: 7 };
-    let hello = Hello { voter: Some(VoterId(11)), begun: true, seen: 3, asks: false };
+    let hello =
+        VoterHello { voter: Some(VoterId(11)), has_log: true, seen_incarnation: 3, needs_reply: false };
     vec![
-        ("peers", Word::Peers(vec![1, 2, 3])),
-        ("hello", Word::Hello(hello)),
-        ("raft", Word::Raft(Box::new(raft_message()))),
-        ("ask", Word::Ask(ask())),
-        ("answer", Word::Answer(answer())),
-        ("elsewhere", Word::Elsewhere(Some(FrontId(3)))),
-        ("poke", Word::Poke),
-        ("submit", Word::Submit(id, Change::Budgets(BudgetCommand::Leave { holder: holder(1) }))),
-        ("told", Word::Told(id, Outcome::Done)),
-        ("ask_work", Word::AskWork(ask(), work_said())),
-        ("answer_work", Word::AnswerWork(answer(), work_view())),
-        ("ask_sites", Word::AskSites(ask(), Some(work_said()), sites_said())),
-        ("answer_sites", Word::AnswerSites(answer(), Some(work_view()), sites_view())),
-        ("here", Word::Here),
+        ("peers", PeerMessage::Gossip(vec![1, 2, 3])),
+        ("hello", PeerMessage::VoterHello(hello)),
+        ("raft", PeerMessage::Raft(Box::new(raft_message()))),
+        ("ask", PeerMessage::LeaseRequest(ask())),
+        ("answer", PeerMessage::LeaseResponse(answer())),
+        ("elsewhere", PeerMessage::NotLeader(Some(FrontId(3)))),
+        ("poke", PeerMessage::RenewNow),
+        (
+            "submit",
+            PeerMessage::SubmitCommand(
+                id,
+                AgreedCommand::Budgets(BudgetCommand::Leave { holder: holder(1) }),
+            ),
+        ),
+        ("told", PeerMessage::CommandOutcome(id, CommandOutcome::Done)),
+        ("ask_work", PeerMessage::MaintenanceLeaseRequest(ask(), work_said())),
+        ("answer_work", PeerMessage::MaintenanceLeaseResponse(answer(), work_view())),
+        ("ask_sites", PeerMessage::SiteLeaseRequest(ask(), Some(work_said()), sites_said())),
+        ("answer_sites", PeerMessage::SiteLeaseResponse(answer(), Some(work_view()), sites_view())),
+        ("here", PeerMessage::SiteHeartbeat),
     ]
 }
 
@@ -218,17 +225,17 @@
 #[test]
 fn datagrams_keep_their_bytes() {
     let frames = |me, incarnation| {
-        Frames::new(b"key", "duna", FrontId(me), incarnation, [FrontId(1), FrontId(2)].into_iter())
+        DatagramCodec::new(b"key", "duna", FrontId(me), incarnation, [FrontId(1), FrontId(2)].into_iter())
     };
     let (mut sender, mut receiver) = (frames(1, 3), frames(2, 8));
     let mut file = golden("datagrams.txt");
-    let long = Word::Peers((0..3000u32).map(|n| n as u8).collect());
+    let long = PeerMessage::Gossip((0..3000u32).map(|n| n as u8).collect());
     for (name, message) in messages().into_iter().chain([("long", long)]) {
-        let datagrams = sender.seal(FrontId(2), &message);
+        let datagrams = sender.encode(FrontId(2), &message);
         let mut opened = None;
         for (place, datagram) in datagrams.iter().enumerate() {
             file.bytes(&format!("{name}_{place}"), datagram);
-            opened = receiver.open(datagram);
+            opened = receiver.decode(datagram);
         }
         assert_eq!(opened, Some((FrontId(1), message)), "{name}");
     }
@@ -342,19 +349,19 @@
 #[test]
 fn commands_and_the_agreed_state_keep_their_encoding() {
     let mut file = golden("agreed.txt");
-    let mut agreed = Agreed::default();
-    let budgets = budget_commands().into_iter().map(Change::Budgets);
-    let seat = [Change::Seat { front: FrontId(1), voter: VoterId(11) }];
-    let work = work_commands().into_iter().map(Change::Work);
-    let sites = site_commands().into_iter().map(Change::Sites);
+    let mut agreed = AgreedState::default();
+    let budgets = budget_commands().into_iter().map(AgreedCommand::Budgets);
+    let seat = [AgreedCommand::AssignVoter { front: FrontId(1), voter: VoterId(11) }];
+    let work = work_commands().into_iter().map(AgreedCommand::Maintenance);
+    let sites = site_commands().into_iter().map(AgreedCommand::Sites);
     // Fronts that are there have to see what machines do: the budgets' commands up to the last join go first.
-    let changes: Vec<Change> = budgets.chain(seat).chain(work).chain(sites).collect();
+    let changes: Vec<AgreedCommand> = budgets.chain(seat).chain(work).chain(sites).collect();
     for (place, change) in changes.iter().enumerate() {
         file.value(&format!("command_{place}"), change);
         let outcome = agreed.apply(change);
         file.value(&format!("outcome_{place}"), &outcome);
         let snapshot = agreed.snapshot();
-        assert_eq!(Agreed::restore(&snapshot).as_ref(), Some(&agreed), "after {change:?}");
+        assert_eq!(AgreedState::restore(&snapshot).as_ref(), Some(&agreed), "after {change:?}");
         file.bytes(&format!("state_{place}"), &snapshot);
     }
     file.check();
@@ -363,18 +370,18 @@
 /// Snapshots of versions that had no maintenance jobs, or no sites, end where those begin.
 #[test]
 fn snapshots_of_earlier_versions_are_still_read() {
-    let mut agreed = Agreed::default();
+    let mut agreed = AgreedState::default();
     for command in budget_commands() {
-        agreed.apply(&Change::Budgets(command));
+        agreed.apply(&AgreedCommand::Budgets(command));
     }
-    agreed.apply(&Change::Seat { front: FrontId(1), voter: VoterId(11) });
+    agreed.apply(&AgreedCommand::AssignVoter { front: FrontId(1), voter: VoterId(11) });
     let early =
-        [postcard::to_allocvec(&agreed.budgets).unwrap(), postcard::to_allocvec(&agreed.seats).unwrap()];
-    let restored = Agreed::restore(&early.concat()).expect("a snapshot without jobs");
-    assert_eq!((restored.budgets, restored.seats), (agreed.budgets.clone(), agreed.seats.clone()));
-    let with_work = [early.concat(), postcard::to_allocvec(&agreed.work).unwrap()].concat();
-    let restored = Agreed::restore(&with_work).expect("a snapshot without sites");
-    assert_eq!(restored.work, agreed.work);
+        [postcard::to_allocvec(&agreed.budgets).unwrap(), postcard::to_allocvec(&agreed.voters).unwrap()];
+    let restored = AgreedState::restore(&early.concat()).expect("a snapshot without jobs");
+    assert_eq!((restored.budgets, restored.voters), (agreed.budgets.clone(), agreed.voters.clone()));
+    let with_work = [early.concat(), postcard::to_allocvec(&agreed.maintenance).unwrap()].concat();
+    let restored = AgreedState::restore(&with_work).expect("a snapshot without sites");
+    assert_eq!(restored.maintenance, agreed.maintenance);
 }
 
 #[test]
@@ -390,9 +397,9 @@
         CommandRejected::FrontStillListed,
     ];
     for (place, refused) in refused.into_iter().enumerate() {
-        file.value(&format!("budgets_{place}"), &Outcome::Refused(refused));
+        file.value(&format!("budgets_{place}"), &CommandOutcome::BudgetsRejected(refused));
     }
-    file.value("no_seat", &Outcome::NoSeat);
+    file.value("no_seat", &CommandOutcome::TooManyVoters);
     use elmtide_work::Refused as Work;
     let refused = [
         Work::OldLayout,
@@ -412,9 +419,9 @@
         Work::TooLong,
         Work::IsOff(FrontId(2)),
     ];
-    file.value("work_done", &Outcome::Work(Ok(JobId(2))));
+    file.value("work_done", &CommandOutcome::Maintenance(Ok(JobId(2))));
     for (place, refused) in refused.into_iter().enumerate() {
-        file.value(&format!("work_{place}"), &Outcome::Work(Err(refused)));
+        file.value(&format!("work_{place}"), &CommandOutcome::Maintenance(Err(refused)));
     }
     use elmtide_sites::Refused as Sites;
     let refused = [
@@ -427,9 +434,9 @@
         Sites::ByOperator,
         Sites::NotNext,
     ];
-    file.value("sites_done", &Outcome::Sites(Ok(())));
+    file.value("sites_done", &CommandOutcome::Sites(Ok(())));
     for (place, refused) in refused.into_iter().enumerate() {
-        file.value(&format!("sites_{place}"), &Outcome::Sites(Err(refused)));
+        file.value(&format!("sites_{place}"), &CommandOutcome::Sites(Err(refused)));
     }
     file.check();
 }
--- a/front/src/fleet/config.rs
+++ b/front/src/fleet/config.rs
@@ -12,7 +12,7 @@
 use elmtide_budgets::TotalLimit;
 use elmtide_budgets::{BudgetId, BudgetKind, FrontId, LeaseSettings, Micros, SpendingModel, TOTAL};
 use elmtide_cells::ShopId;
-use elmtide_fleet::{Front, Settings};
+use elmtide_fleet::{FleetSettings, FrontSettings, MaintenanceSettings};
 use elmtide_sites::{Rules, SiteId};
 use elmtide_work::{BackBy, Bounds, MachineId, Spec};
 use serde::Deserialize;
@@ -352,7 +352,7 @@
     }
 
     /// The machines and their bounds, as all fronts have to agree on them.
-    pub fn layout(&self) -> Option<(Vec<Spec>, Bounds)> {
+    pub fn layout(&self) -> Option<MaintenanceSettings> {
         let work = self.work.as_ref()?;
         let number = |of: &dyn Fn(&MachineEntry) -> String| {
             let mut names: Vec<String> = self.machine.iter().map(of).filter(|n| !n.is_empty()).collect();
@@ -390,7 +390,7 @@
             },
             closed: work.closed.iter().filter_map(|text| hours(text)).collect(),
         };
-        Some((self.machine.iter().map(spec).collect(), bounds))
+        Some(MaintenanceSettings { machines: self.machine.iter().map(spec).collect(), bounds })
     }
 
     pub fn own(&self, name: &str) -> Option<&FrontEntry> {
@@ -427,14 +427,17 @@
     }
 
     /// What all fronts have to agree on.
-    pub fn settings(&self, longest: f64) -> Result<Settings, String> {
+    pub fn settings(&self, longest: f64) -> Result<FleetSettings, String> {
         let mut sites: Vec<&str> = self.front.iter().map(|f| &f.site[..]).collect();
         sites.sort_unstable();
         sites.dedup();
         let site = |name: &str| sites.iter().position(|s| *s == name).unwrap_or(0) as u16;
         let fronts = self.front.iter();
-        let fronts =
-            fronts.map(|f| Front { id: FrontId::from_name(&f.name), site: site(&f.site), votes: f.votes });
+        let fronts = fronts.map(|f| FrontSettings {
+            id: FrontId::from_name(&f.name),
+            site: site(&f.site),
+            is_voter: f.votes,
+        });
         let mut floors = std::collections::BTreeMap::new();
         for budget in &self.budget {
             let kind = budget.kind()?;
@@ -446,13 +449,13 @@
             let parts = (budget.floor * f64::from(TOTAL)) as u32;
             floors.insert(kind, MinimumRule { set_aside: parts, unit: least });
         }
-        Ok(Settings {
+        Ok(FleetSettings {
             version: self.version,
             fronts: fronts.collect(),
-            floors: floors.into_iter().collect(),
-            terms: self.terms(longest),
+            minimums: floors.into_iter().collect(),
+            lease: self.terms(longest),
             tick: micros(self.tick_ms),
-            work: self.layout(),
+            maintenance: self.layout(),
             sites: self.watched(),
         })
     }
@@ -512,10 +515,10 @@
         let config = FleetConfig::parse(GOOD).unwrap();
         let settings = config.settings(3000.0).unwrap();
         assert_eq!(
-            settings.floors,
+            settings.minimums,
             [(BudgetKind::Retries, MinimumRule { set_aside: 200_000, unit: 20_000 })]
         );
-        assert_eq!((settings.terms.duration, settings.tick), (2_000_000, 50_000));
+        assert_eq!((settings.lease.duration, settings.tick), (2_000_000, 50_000));
     }
 
     #[rstest]
@@ -547,11 +550,11 @@
         let mut file = elmtide_golden::GoldenFile::new(format!("{golden}/fleet_settings.txt"));
         file.line(&format!("version {} tick {}", settings.version, settings.tick));
         for front in &settings.fronts {
-            file.line(&format!("front {:x} site {} votes {}", front.id.0, front.site, front.votes));
+            file.line(&format!("front {:x} site {} votes {}", front.id.0, front.site, front.is_voter));
         }
-        file.value("floors", &settings.floors);
-        file.value("terms", &settings.terms);
-        let (machines, bounds) = settings.work.unwrap();
+        file.value("floors", &settings.minimums);
+        file.value("terms", &settings.lease);
+        let elmtide_fleet::MaintenanceSettings { machines, bounds } = settings.maintenance.unwrap();
         file.value("machines", &machines);
         file.value("bounds", &bounds);
         let rules = settings.sites.unwrap();
--- a/front/src/fleet/look.rs
+++ b/front/src/fleet/look.rs
@@ -11,7 +11,7 @@
 
 use arc_swap::ArcSwapOption;
 use elmtide_budgets::{Clocks, FrontId, TOTAL};
-use elmtide_fleet::Status;
+use elmtide_fleet::NodeStatus;
 use elmtide_peers::Liveness;
 use serde::{Deserialize, Serialize};
 
@@ -98,7 +98,7 @@
 
 impl Shown {
     pub fn new(
-        status: Status,
+        status: NodeStatus,
         report: &EngineReport,
         names: &BTreeMap<FrontId, String>,
         crowded: u64,
@@ -117,35 +117,36 @@
             floor: part(quota.minimum),
             why: why(quota.leased).to_owned(),
         });
-        let agreed = status.shares.iter().map(|(holder, key, counted, told)| ShownShare {
-            front: name(&holder.front),
-            incarnation: holder.incarnation.0,
-            budget: budget(key),
-            counted: part(*counted),
-            told: part(*told),
+        let agreed = status.quotas.iter().map(|quota| ShownShare {
+            front: name(&quota.holder.front),
+            incarnation: quota.holder.incarnation.0,
+            budget: budget(&quota.budget),
+            counted: part(quota.committed),
+            told: part(quota.granted),
         });
-        let mut dropped: BTreeMap<String, u64> = status.dropped.iter().cloned().collect();
+        let mut dropped: BTreeMap<String, u64> =
+            status.dropped.iter().map(|(reason, count)| (reason.name().to_owned(), *count)).collect();
         dropped.insert("Crowded".into(), crowded);
         Shown {
             front: name(&status.front),
             incarnation: status.incarnation,
-            role: status.role,
+            role: status.role.name().to_owned(),
             term: status.term,
             leader: status.leader.as_ref().map(name),
-            contact: status.contact,
-            answer_age_ms: status.answer_age.map(|us| us as f64 / 1000.0),
+            contact: status.has_contact,
+            answer_age_ms: status.response_age.map(|us| us as f64 / 1000.0),
             lease_left_ms: left.filter(|left| *left > 0.0),
-            list_in_force: status.list,
-            list_of_file: status.file,
-            log_entries: status.log,
-            applied: status.applied,
+            list_in_force: status.front_list_version,
+            list_of_file: status.configured_version,
+            log_entries: status.log_entries,
+            applied: status.applied_index,
             fronts: status
                 .fronts
                 .iter()
-                .map(|(front, seems, incarnation, _)| ShownFront {
+                .map(|(front, member)| ShownFront {
                     name: name(front),
-                    seems: *seems,
-                    incarnation: *incarnation,
+                    seems: member.liveness,
+                    incarnation: member.incarnation,
                 })
                 .collect(),
             own: own.collect(),
--- a/front/src/fleet/runner.rs
+++ b/front/src/fleet/runner.rs
@@ -11,8 +11,10 @@
 use arc_swap::ArcSwapOption;
 use crossbeam_channel::{bounded, Receiver, Sender};
 use elmtide_budgets::{BudgetCommand, Clocks, FrontId, LeaseSettings};
-use elmtide_fleet::member::Event;
-use elmtide_fleet::{Change, Config, Kept, Member, Output, Settings};
+use elmtide_fleet::Event;
+use elmtide_fleet::{
+    AgreedCommand, FleetNode, FleetSettings, NodeConfig, Output, RecoveredState, SyncResult,
+};
 use elmtide_sites::{Rules, SiteId, Standing, Watcher};
 use elmtide_store::Store;
 use elmtide_work::view::Details;
@@ -87,7 +89,7 @@
 
 struct Runner {
     socket: UdpSocket,
-    member: Member,
+    member: FleetNode,
     store: Option<Store>,
     addresses: BTreeMap<FrontId, SocketAddr>,
     names: BTreeMap<FrontId, String>,
@@ -191,21 +193,21 @@
     me: FrontId,
     installation: String,
     key: Vec<u8>,
-    settings: Settings,
+    settings: FleetSettings,
     seed: u64,
 }
 
 impl Begin {
-    fn member(&self, kept: Kept) -> Result<Member, String> {
-        let config = Config {
-            me: self.me,
+    fn member(&self, kept: RecoveredState) -> Result<FleetNode, String> {
+        let config = NodeConfig {
+            own: self.me,
             installation: self.installation.clone(),
             key: self.key.clone(),
             settings: self.settings.clone(),
-            kept,
+            recovered: kept,
             seed: self.seed,
         };
-        Member::new(config, clock::both())
+        FleetNode::new(config, clock::both()).map_err(|why| why.to_string())
     }
 }
 
@@ -231,7 +233,7 @@
 ) -> Result<Started, String> {
     let own = config.own(name).ok_or_else(|| format!("no [[front]] has the name {name:?}"))?;
     let settings = config.settings(longest)?;
-    let terms: LeaseSettings = settings.terms;
+    let terms: LeaseSettings = settings.lease;
     let (store, kept) = match &config.store {
         Some(path) => {
             let (store, kept) = Store::open(path, &config.installation)
@@ -239,7 +241,7 @@
             (Some(store), kept)
         }
         // Without a store only the clock tells runs apart; a clock that went back makes this run one that the others refuse.
-        None => (None, Kept { incarnation: clock::unix_ms() as u64, ..Kept::default() }),
+        None => (None, RecoveredState { incarnation: clock::unix_ms() as u64, ..RecoveredState::default() }),
     };
     let at = own.listen.unwrap_or(own.address);
     let socket = UdpSocket::bind(at).map_err(|e| format!("{at}: {e}"))?;
@@ -247,8 +249,8 @@
     let at = socket.local_addr().map_err(|e| e.to_string())?;
     let waker = |socket: &UdpSocket| Waker::new(socket, at).map_err(|e| e.to_string());
     tracing::info!(%at, "fleet: listens");
-    let settings_on = settings.work.is_some();
-    let machines = settings.work.iter().flat_map(|(specs, _)| specs);
+    let settings_on = settings.maintenance.is_some();
+    let machines = settings.maintenance.iter().flat_map(|maintenance| &maintenance.machines);
     let machines: Vec<_> = machines.map(|s| (MachineId::of(&s.name), s.at)).collect();
     let own_machine = config.machine.iter().find(|m| m.front.as_deref() == Some(name));
     let working = settings_on.then(|| {
@@ -361,7 +363,7 @@
             self.wait();
             self.receive();
             self.listen();
-            self.member.pass(clock::both());
+            self.member.advance_time(clock::both());
             self.carry_out();
             if self.member.has_left() {
                 if let Some(told) = self.leaving.take() {
@@ -373,7 +375,7 @@
     }
 
     fn wait(&self) {
-        let left = Duration::from_micros(self.member.due().saturating_sub(clock::both().monotonic));
+        let left = Duration::from_micros(self.member.next_deadline().saturating_sub(clock::both().monotonic));
         let left = left.clamp(Duration::from_micros(200), WAIT);
         let timeout = Timespec { tv_sec: 0, tv_nsec: left.as_nanos() as _ };
         let _ = poll(&mut [PollFd::new(&self.socket, PollFlags::IN)], Some(&timeout));
@@ -409,9 +411,9 @@
         while let Ok(report) = self.reports.try_recv() {
             let now = clock::both();
             if let Some(number) = report.quota_epoch {
-                self.member.applied(number, report.minimums_epoch, now);
+                self.member.on_applied(number, report.minimums_epoch, now);
             }
-            self.member.wants(report.demands.clone());
+            self.member.set_demands(report.demands.clone());
             if let Some(said) = &report.maintenance {
                 self.work.said = said.clone();
             }
@@ -419,19 +421,19 @@
         }
         if self.work.on {
             let looks = self.work.looks.is_some_and(|until| Instant::now() < until);
-            self.member.says(Said { looks, ..self.work.said.clone() }, clock::both());
+            self.member.report_maintenance(Said { looks, ..self.work.said.clone() }, clock::both());
         }
         if let Some(watch) = &mut self.watch {
             let now = clock::both();
-            let said = watch.said(self.member.take_heard(), self.report.own_site, now);
-            self.member.says_of_sites(said, now);
+            let said = watch.said(self.member.take_heard_fronts(), self.report.own_site, now);
+            self.member.report_sites(said, now);
         }
         while let Ok(order) = self.orders.try_recv() {
             let now = clock::both();
             match order {
                 Order::Leave(told) => {
                     self.leaving = Some(told);
-                    self.member.hand_over(now);
+                    self.member.transfer_leadership(now);
                     self.member.leave(now);
                 }
                 Order::Look(told) => {
@@ -443,7 +445,7 @@
                 }
                 Order::Work(request, told) => self.on_request(*request, told, now),
                 Order::Forget(front) => {
-                    self.member.submit(Change::Budgets(BudgetCommand::RemoveFront { front }), now);
+                    self.member.submit(AgreedCommand::Budgets(BudgetCommand::RemoveFront { front }), now);
                 }
             }
         }
@@ -451,27 +453,28 @@
 
     /// Does what the member wants done, in order.
     fn carry_out(&mut self) {
-        while let Some(output) = self.member.poll() {
+        while let Some(output) = self.member.poll_output() {
             match output {
                 Output::Send(to, bytes) => {
                     if let Some(at) = self.addresses.get(&to) {
                         let _ = self.socket.send_to(&bytes, at);
                     }
                 }
-                Output::Sync(persist) => self.kept(|store| store.keep(&persist)),
-                Output::Number(id) => self.kept(|store| store.keep_number(id)),
-                Output::Compact(persist) => {
-                    if let Some(Err(why)) = self.store.as_ref().map(|s| s.keep(&persist)) {
+                Output::SyncLog(persist) => self.kept(|store| store.write_log(&persist)),
+                Output::SyncVoterId(id) => self.kept(|store| store.write_voter_id(id)),
+                Output::CompactLog(persist) => {
+                    if let Some(Err(why)) = self.store.as_ref().map(|s| s.write_log(&persist)) {
                         tracing::warn!(%why, "fleet: the log was not cut");
                     }
                 }
-                Output::Floors(floors) => match self.store.as_ref().map(|s| s.keep_floors(&floors)) {
+                Output::ApplyMinimums(floors) => match self.store.as_ref().map(|s| s.write_minimums(&floors))
+                {
                     // What is not kept is not used, and not said to be: others wait for a smaller one to be.
                     Some(Err(why)) => tracing::error!(%why, "fleet: floors can't be kept"),
                     _ => self.tell(FleetUpdate::Minimums(floors)),
                 },
-                Output::Spend(grant) => self.tell(FleetUpdate::Grant(grant)),
-                Output::View(mut told) => {
+                Output::ApplyGrant(grant) => self.tell(FleetUpdate::Grant(grant)),
+                Output::ApplyMaintenanceView(mut told) => {
                     if let Some(details) = told.view.details.take() {
                         self.work.details = Some((Instant::now(), *details));
                         let shown = self.shown_work();
@@ -479,18 +482,18 @@
                     }
                     self.tell(FleetUpdate::Maintenance(told));
                 }
-                Output::Sites(told) => {
+                Output::ApplySiteView(told) => {
                     if let Some(watch) = &self.watch {
                         watch.watched.take(told);
                     }
                 }
-                Output::Outcome(tag, outcome) => {
+                Output::CommandEnded(tag, outcome) => {
                     if let Some(told) = self.work.replies.remove(&tag) {
                         let reply = self.work.names.reply(outcome);
                         let _ = told.try_send(serde_json::to_string(&reply).unwrap_or_default());
                     }
                 }
-                Output::Stale => self.begin_anew(),
+                Output::ResetStore => self.begin_anew(),
                 Output::Event(event) => self.said(&event),
             }
         }
@@ -516,9 +519,9 @@
         while self.work.replies.len() >= REPLIES {
             self.work.replies.pop_first();
         }
-        match self.member.command(tag, change, now) {
-            true => drop(self.work.replies.insert(tag, told)),
-            false => refuse("too many commands wait at this front".to_owned()),
+        match self.member.request_command(tag, change, now) {
+            Ok(()) => drop(self.work.replies.insert(tag, told)),
+            Err(why) => refuse(why.to_string()),
         }
     }
 
@@ -547,13 +550,14 @@
             }),
             None => Err(()),
         };
-        self.member.synced(kept.is_ok(), clock::both());
+        let result = if kept.is_ok() { SyncResult::Synced } else { SyncResult::Failed };
+        self.member.on_synced(result, clock::both());
     }
 
     /// The store is not the latest of this front: it is emptied, and the member begins anew.
     fn begin_anew(&mut self) {
         let Some(store) = &self.store else { return };
-        let begun = store.begin_anew(self.stale).map_err(|e| e.to_string());
+        let begun = store.reset(self.stale).map_err(|e| e.to_string());
         match begun.and_then(|kept| self.begin.member(kept)) {
             Ok(member) => {
                 self.member = member;
@@ -569,18 +573,17 @@
 
     fn said(&mut self, event: &Event) {
         match event {
-            Event::Leads { term } => tracing::info!(term, "fleet: leads"),
-            Event::LeadsNoMore { term } => tracing::info!(term, "fleet: leads no more"),
-            Event::Begun { voters } => tracing::info!(voters, "fleet: a new log is begun"),
-            Event::Contact => tracing::info!("fleet: in contact with a leader"),
+            Event::LeadershipGained { term } => tracing::info!(term, "fleet: leads"),
+            Event::LeadershipLost { term } => tracing::info!(term, "fleet: leads no more"),
+            Event::LogBootstrapped { voters } => tracing::info!(voters, "fleet: a new log is begun"),
+            Event::ContactGained => tracing::info!("fleet: in contact with a leader"),
             Event::ContactLost => {
                 tracing::warn!(
                     "fleet: no leader has answered for a lease: this front goes on with its floors"
                 )
             }
-            Event::Listed { version } => tracing::info!(version, "fleet: the list in force"),
-            Event::Superseded => tracing::warn!("fleet: a later run of this front is there"),
-            Event::StoreStale { seen } => {
+            Event::FrontListInForce { version } => tracing::info!(version, "fleet: the list in force"),
+            Event::StoreStale { seen_incarnation: seen } => {
                 self.stale = *seen;
                 tracing::error!(
                     seen,
@@ -591,14 +594,18 @@
             Event::VoterReplaced { front } => {
                 tracing::info!(front = %self.name(*front), "fleet: a voter with another store takes its seat")
             }
-            Event::Granted { number, shares } => tracing::debug!(number = number.0, shares, "fleet: granted"),
-            Event::Applied { refused, what } => tracing::info!(refused, what, "fleet: agreed"),
+            Event::LeaseGranted { epoch: number, quotas: shares } => {
+                tracing::debug!(number = number.0, shares, "fleet: granted")
+            }
+            Event::CommandApplied { rejected: refused, command } => {
+                tracing::info!(refused, what = command.name(), "fleet: agreed");
+            }
             Event::Left => tracing::info!("fleet: left in order"),
-            Event::Site { site, standing } => {
+            Event::SiteChanged { site, standing } => {
                 let name = self.watch.as_ref().map_or_else(String::new, |w| w.watched.sites.name(*site));
                 tracing::warn!(site = name, ?standing, "sites: agreed");
             }
-            Event::Worked { machine, step } => {
+            Event::MachineAdvanced { machine, step } => {
                 let (machine, step) = (self.work.names.machine(*machine), work::step_name(*step));
                 tracing::info!(machine, step, "work: agreed");
                 self.work.hooks.run(step, &machine);
--- a/front/src/fleet/work.rs
+++ b/front/src/fleet/work.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use elmtide_budgets::FrontId;
-use elmtide_fleet::{Change, Outcome};
+use elmtide_fleet::{AgreedCommand, CommandOutcome};
 use elmtide_work::plan::{self, Facts, Wait};
 use elmtide_work::state::Bound;
 use elmtide_work::view::Details;
@@ -58,16 +58,16 @@
 
 impl Request {
     /// The change that is asked for; a site is named as the file names it.
-    pub fn change(self, sites: Option<&Sites>) -> Result<Change, String> {
+    pub fn change(self, sites: Option<&Sites>) -> Result<AgreedCommand, String> {
         let of_site = |name: &str, lost: bool| {
             let site =
                 sites.and_then(|s| s.site(name)).ok_or_else(|| format!("there is no site {name:?}"))?;
-            Ok(Change::Sites(elmtide_sites::Command::Operator { site, lost, at: 0 }))
+            Ok(AgreedCommand::Sites(elmtide_sites::Command::Operator { site, lost, at: 0 }))
         };
         match self {
             Request::SiteLost { site } => of_site(&site, true),
             Request::SiteClear { site } => of_site(&site, false),
-            other => Ok(Change::Work(other.command())),
+            other => Ok(AgreedCommand::Maintenance(other.command())),
         }
     }
 
@@ -134,14 +134,14 @@
         self.fronts.get(&front).cloned().unwrap_or_else(|| format!("front {:016x}", front.0))
     }
 
-    pub fn reply(&self, outcome: Outcome) -> Reply {
+    pub fn reply(&self, outcome: CommandOutcome) -> Reply {
         match outcome {
-            Outcome::Work(Ok(job)) if job.0 > 0 => {
+            CommandOutcome::Maintenance(Ok(job)) if job.0 > 0 => {
                 Reply { done: true, job: job.0, text: format!("agreed: job {}", job.0) }
             }
-            Outcome::Work(Ok(_)) => Reply { done: true, job: 0, text: "agreed".into() },
-            Outcome::Work(Err(why)) => Reply::refused(self.refused(why)),
-            Outcome::Sites(Ok(())) => Reply { done: true, job: 0, text: "agreed".into() },
+            CommandOutcome::Maintenance(Ok(_)) => Reply { done: true, job: 0, text: "agreed".into() },
+            CommandOutcome::Maintenance(Err(why)) => Reply::refused(self.refused(why)),
+            CommandOutcome::Sites(Ok(())) => Reply { done: true, job: 0, text: "agreed".into() },
             other => Reply::refused(format!("{other:?}")),
         }
     }
@@ -410,7 +410,8 @@
 
 /// Rounds, times and what is left at each, by the file and by what the front knows; nothing is asked for.
 fn dry_run(config: &FleetConfig, path: &Path, machines: &[String]) -> Result<bool, String> {
-    let (specs, bounds) = config.layout().ok_or("the file has no [work]")?;
+    let elmtide_fleet::MaintenanceSettings { machines: specs, bounds } =
+        config.layout().ok_or("the file has no [work]")?;
     let names = Names::of(config);
     let mut state = State::default();
     let layout = Command::Layout { version: 1, machines: specs, bounds };
--- a/front/tests/fleet.rs
+++ b/front/tests/fleet.rs
@@ -8,7 +8,8 @@
 use std::time::{Duration, Instant};
 
 use elmtide_budgets::FrontId;
-use elmtide_fleet::{Frames, Word};
+use elmtide_fleet::datagram::PeekedKind;
+use elmtide_fleet::{DatagramCodec, PeerMessage};
 use elmtide_rules::spends::Whole;
 use elmtide_standins::bus::listed;
 use elmtide_standins::fleet::{cold_settings, Checked, Fleet, Plan, NAME};
@@ -66,7 +67,7 @@
     let leader = fleet.leader().unwrap();
     let rest = others(&fleet, leader);
     // What it answers from here on is held back: grants are committed that nobody has heard of.
-    fleet.links.hold(leader, "answer");
+    fleet.links.hold(leader, PeekedKind::LeaseResponse);
     assert!(until(|| fleet.links.held(leader) >= 4));
     fleet.kill(leader);
     fleet.links.release(leader, false);
@@ -218,7 +219,7 @@
     let (mut fleet, loads) = under_load(3, 71);
     let leader = fleet.leader().unwrap();
     let victim = others(&fleet, leader)[0];
-    fleet.links.hold(victim, "ask");
+    fleet.links.hold(victim, PeekedKind::LeaseRequest);
     assert!(until(|| fleet.links.held(victim) >= 3));
     let earlier = fleet.links.kept(victim);
     fleet.links.release(victim, true);
@@ -229,8 +230,9 @@
     let me = |f: usize| FrontId::from_name(NAME[f]);
     let key: Vec<u8> = (0..16u8).map(|n| n * 0x11).collect();
     let fronts = || (0..3).map(me);
-    let mut foreign = Frames::new(&key, "elsewhere", me(victim), u64::MAX / 2, fronts());
-    let mut forged = Frames::new(b"another key of sixteen", "trial", me(victim), u64::MAX / 2, fronts());
+    let mut foreign = DatagramCodec::new(&key, "elsewhere", me(victim), u64::MAX / 2, fronts());
+    let mut forged =
+        DatagramCodec::new(b"another key of sixteen", "trial", me(victim), u64::MAX / 2, fronts());
     for (to, bytes) in &earlier {
         fleet.links.inject(victim, *to, bytes);
         fleet.links.inject(victim, *to, &bytes[..bytes.len() / 2]);
@@ -239,7 +241,7 @@
         fleet.links.inject(victim, *to, &version);
     }
     for frames in [&mut foreign, &mut forged] {
-        for datagram in frames.seal(me(leader), &Word::Poke) {
+        for datagram in frames.encode(me(leader), &PeerMessage::RenewNow) {
             fleet.links.inject(victim, leader, &datagram);
         }
     }
--- a/lab/src/schedules.rs
+++ b/lab/src/schedules.rs
@@ -140,11 +140,12 @@
         let mut world = even(fronts, FETCHES, 1.0, seed);
         let before = world.report();
         let leader = world.leader().ok_or("no leader")?;
-        let sent = world.member(leader).map_or(0, |m| m.sent.0);
+        let sent = world.member(leader).map_or(0, |m| m.traffic().datagrams);
         let small = used(&mut world, 40);
         let after = world.report();
         let per = |a: u64, b: u64| (b - a) as f64 / 40.0;
-        let led = world.member(leader).map_or(0, |m| m.sent.0).saturating_sub(sent) as f64 / 40.0;
+        let led =
+            world.member(leader).map_or(0, |m| m.traffic().datagrams).saturating_sub(sent) as f64 / 40.0;
         println!(
             "| {fronts} | {:.1} | {:.0} | {:.1} | {led:.0} |",
             per(before.datagrams, after.datagrams) / fronts as f64,
--- a/model/src/sites.rs
+++ b/model/src/sites.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use elmtide_budgets::{Clocks, Micros};
-use elmtide_fleet::{Change, Member};
+use elmtide_fleet::{AgreedCommand, FleetNode};
 use elmtide_sites::{Command, Holding, Rules, SiteId, Standing, Watcher};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -126,7 +126,7 @@
         let warm = sites.boxes[own];
         let ids = self.ids();
         let Some((member, looker)) = self.looker(node) else { return };
-        for front in member.take_heard() {
+        for front in member.take_heard_fronts() {
             if let Some(other) = ids.iter().position(|id| *id == front).filter(|n| n % count != own) {
                 looker.watcher.heard_front(SiteId((other % count) as u16), front.0, clocks.monotonic);
             }
@@ -141,7 +141,7 @@
             warm,
             strained: false,
         };
-        member.says_of_sites(said, clocks);
+        member.report_sites(said, clocks);
     }
 
     /// Who truly hears nothing of whom at this moment.
@@ -178,7 +178,7 @@
     /// Takes in what a voter has applied, where it is later than what is known: a loss must have been one, for most of the sites that were
     /// not lost.
     pub(crate) fn keep_sites(&mut self, node: usize) {
-        let (Some(sites), Some(state)) = (&self.sites, self.member(node).and_then(Member::sites)) else {
+        let (Some(sites), Some(state)) = (&self.sites, self.member(node).and_then(FleetNode::sites)) else {
             return;
         };
         if state.number() <= sites.number {
@@ -215,7 +215,7 @@
 
     /// An operator's word, asked for at a node.
     pub fn operator(&mut self, node: usize, site: usize, lost: bool) -> bool {
-        self.change(node, Change::Sites(Command::Operator { site: SiteId(site as u16), lost, at: 0 }))
+        self.change(node, AgreedCommand::Sites(Command::Operator { site: SiteId(site as u16), lost, at: 0 }))
     }
 }
 
--- a/model/src/world.rs
+++ b/model/src/world.rs
@@ -12,8 +12,13 @@
 };
 use elmtide_consensus::records::StorageUpdate;
 use elmtide_consensus::VoterId;
-use elmtide_fleet::member::Event as Said;
-use elmtide_fleet::{Change, Config, Front, Kept, Member, Outcome, Output, Settings};
+use elmtide_fleet::node::status::NodeRole;
+use elmtide_fleet::Event as Said;
+use elmtide_fleet::{
+    AgreedCommand, CommandOutcome, FleetNode, FleetSettings, FrontSettings, NodeConfig, Output,
+    RecoveredState,
+};
+use elmtide_fleet::{MaintenanceSettings, SyncResult};
 use elmtide_rules::spends::{self, Spends};
 use elmtide_work::view::{Looks, Sight, Work};
 use elmtide_work::{Bounds, Command, MachineId, Spec, Stage, Viewer};
@@ -107,23 +112,23 @@
 
 #[derive(Clone, Debug, Default)]
 struct Store {
-    kept: Kept,
+    kept: RecoveredState,
     /// A copy of some time ago.
-    old: Option<Kept>,
+    old: Option<RecoveredState>,
     /// Refuses to sync.
     full: bool,
 }
 
 struct Node {
     id: FrontId,
-    member: Option<Member>,
+    member: Option<FleetNode>,
     purse: QuotaLedger,
     store: Store,
     clock: Clock,
     /// Which run of the process it is, for events that are meant for an earlier one.
     run: u64,
     stalled_until: Micros,
-    settings: Settings,
+    settings: FleetSettings,
     /// Units a second that are wanted, by budget.
     demand: BTreeMap<BudgetId, f64>,
     wake_at: Micros,
@@ -224,7 +229,7 @@
     /// Digest of all that happened.
     hash: u64,
     pub said: Vec<(Micros, usize, Said)>,
-    pub outcomes: Vec<(Micros, usize, Outcome)>,
+    pub outcomes: Vec<(Micros, usize, CommandOutcome)>,
     checked_at: Micros,
     pub machines: Option<Machines>,
     agreed: Option<elmtide_work::State>,
@@ -292,17 +297,23 @@
         world
     }
 
-    fn settings(setup: &Setup, ids: &[FrontId], version: u64) -> Settings {
-        let front =
-            |(n, id): (usize, &FrontId)| Front { id: *id, site: (n % 3) as u16, votes: n < setup.voters };
-        Settings {
+    fn settings(setup: &Setup, ids: &[FrontId], version: u64) -> FleetSettings {
+        let front = |(n, id): (usize, &FrontId)| FrontSettings {
+            id: *id,
+            site: (n % 3) as u16,
+            is_voter: n < setup.voters,
+        };
+        FleetSettings {
             version,
             fronts: ids.iter().enumerate().map(front).collect(),
-            floors: setup.floors.clone(),
-            terms: setup.terms(),
+            minimums: setup.floors.clone(),
+            lease: setup.terms(),
             tick: setup.tick,
             sites: sites::rules(setup, ids),
-            work: setup.machines.as_ref().map(|m| (m.specs.clone(), m.bounds.clone())),
+            maintenance: setup
+                .machines
+                .as_ref()
+                .map(|m| MaintenanceSettings { machines: m.specs.clone(), bounds: m.bounds.clone() }),
         }
     }
 
@@ -332,20 +343,20 @@
         let place = &mut self.nodes[node];
         place.run += 1;
         place.store.kept.incarnation += 1;
-        place.store.kept.lasting = true;
+        place.store.kept.durable = true;
         place.purse = QuotaLedger::new(terms);
         for (key, whole) in &self.setup.budgets {
             place.purse.configure_budget(*key, *whole, clocks);
         }
-        let config = Config {
-            me: place.id,
+        let config = NodeConfig {
+            own: place.id,
             installation: "model".into(),
             key: b"a key of the model".to_vec(),
             settings: place.settings.clone(),
-            kept: place.store.kept.clone(),
+            recovered: place.store.kept.clone(),
             seed,
         };
-        place.member = Member::new(config, clocks).ok();
+        place.member = FleetNode::new(config, clocks).ok();
         place.stalled_until = 0;
         place.wake_at = Micros::MAX;
         place.open.clear();
@@ -374,7 +385,10 @@
         match disk {
             Disk::Kept => {}
             // Without the store the incarnation goes by a clock that only rises.
-            Disk::Lost => place.store.kept = Kept { incarnation: incarnation + 10, ..Kept::default() },
+            Disk::Lost => {
+                place.store.kept =
+                    RecoveredState { incarnation: incarnation + 10, ..RecoveredState::default() }
+            }
             Disk::Yesterday => {
                 if let Some(old) = place.store.old.clone() {
                     place.store.kept = old;
@@ -542,7 +556,7 @@
                 }
                 self.nodes[node].wake_at = Micros::MAX;
                 if let Some(member) = &mut self.nodes[node].member {
-                    member.pass(clocks);
+                    member.advance_time(clocks);
                 }
             }
             Event::Synced { run, what, .. } => {
@@ -560,7 +574,7 @@
                 let place = &mut self.nodes[node];
                 let wants = place.purse.demands(clocks);
                 if let Some(member) = &mut place.member {
-                    member.wants(wants);
+                    member.set_demands(wants);
                 }
                 self.say_work(node, clocks);
                 self.say_sites(node, clocks);
@@ -577,13 +591,14 @@
     fn synced(&mut self, node: usize, pending: Option<Pending>, clocks: Clocks) {
         let place = &mut self.nodes[node];
         let kept = !place.store.full;
+        let result = if kept { SyncResult::Synced } else { SyncResult::Failed };
         match pending {
             Some(Pending::Log(persist)) => {
                 if kept {
-                    place.store.kept.stored.apply(&persist);
+                    place.store.kept.log.apply(&persist);
                 }
                 if let Some(member) = &mut place.member {
-                    member.synced(kept, clocks);
+                    member.on_synced(result, clocks);
                 }
             }
             Some(Pending::Number(id)) => {
@@ -591,11 +606,11 @@
                     place.store.kept.voter = Some(id);
                 }
                 if let Some(member) = &mut place.member {
-                    member.synced(kept, clocks);
+                    member.on_synced(result, clocks);
                 }
             }
             Some(Pending::Floors(floors)) if kept => {
-                place.store.kept.floors = floors.clone();
+                place.store.kept.minimums = floors.clone();
                 place.purse.apply_minimums(floors, clocks);
             }
             _ => {}
@@ -633,36 +648,38 @@
     fn drain(&mut self, node: usize) {
         loop {
             let clocks = self.clocks(node);
-            let Some(output) = self.nodes[node].member.as_mut().and_then(Member::poll) else { break };
+            let Some(output) = self.nodes[node].member.as_mut().and_then(FleetNode::poll_output) else {
+                break;
+            };
             let run = self.nodes[node].run;
             match output {
                 Output::Send(to, bytes) => self.send(node, to, bytes),
-                Output::Sync(persist) => self.sync(node, run, Pending::Log(Box::new(persist))),
-                Output::Number(id) => self.sync(node, run, Pending::Number(id)),
-                Output::Floors(floors) => self.sync(node, run, Pending::Floors(floors)),
-                Output::Compact(persist) => self.nodes[node].store.kept.stored.apply(&persist),
-                Output::Stale => {
+                Output::SyncLog(persist) => self.sync(node, run, Pending::Log(Box::new(persist))),
+                Output::SyncVoterId(id) => self.sync(node, run, Pending::Number(id)),
+                Output::ApplyMinimums(floors) => self.sync(node, run, Pending::Floors(floors)),
+                Output::CompactLog(persist) => self.nodes[node].store.kept.log.apply(&persist),
+                Output::ResetStore => {
                     // The store is emptied, and the process begun anew under a later run.
                     let incarnation = self.nodes[node].store.kept.incarnation + 1000;
                     self.kill(node, Disk::Lost);
                     self.nodes[node].store.kept.incarnation = incarnation;
                     return self.start(node);
                 }
-                Output::Spend(grant) => self.nodes[node].purse.apply_grant(grant, clocks),
-                Output::View(told) => {
+                Output::ApplyGrant(grant) => self.nodes[node].purse.apply_grant(grant, clocks),
+                Output::ApplyMaintenanceView(told) => {
                     if let Some(viewer) = &mut self.nodes[node].viewer {
                         viewer.take(&told, clocks);
                     }
                 }
-                Output::Sites(told) => {
+                Output::ApplySiteView(told) => {
                     if let Some(looker) = &mut self.nodes[node].looker {
                         looker.holding.take(told);
                     }
                     self.say_sites(node, clocks);
                 }
-                Output::Outcome(_, outcome) => self.outcomes.push((self.now, node, outcome)),
+                Output::CommandEnded(_, outcome) => self.outcomes.push((self.now, node, outcome)),
                 Output::Event(event) => {
-                    if matches!(event, Said::Leads { .. }) {
+                    if matches!(event, Said::LeadershipGained { .. }) {
                         self.report.leaders += 1;
                     }
                     self.said.push((self.now, node, event));
@@ -678,7 +695,7 @@
         let place = &mut self.nodes[node];
         if let Some(member) = &mut place.member {
             if let Some(number) = place.purse.confirmable_epoch(clocks) {
-                member.applied(number, place.purse.minimums_epoch(), clocks);
+                member.on_applied(number, place.purse.minimums_epoch(), clocks);
             }
         }
     }
@@ -711,7 +728,7 @@
         let clocks = self.clocks(node);
         let place = &mut self.nodes[node];
         let Some(member) = &place.member else { return };
-        let left = member.due().saturating_sub(clocks.monotonic);
+        let left = member.next_deadline().saturating_sub(clocks.monotonic);
         let at = self.now + ((left as f64 / (1.0 + place.clock.ppm / 1e6)).ceil() as Micros).max(50);
         if at < place.wake_at {
             place.wake_at = at;
@@ -724,15 +741,16 @@
 
     /// Asks at a node for a command about machines.
     pub fn command(&mut self, node: usize, command: Command) -> bool {
-        self.change(node, Change::Work(command))
+        self.change(node, AgreedCommand::Maintenance(command))
     }
 
     /// Asks at a node for a change.
-    pub(crate) fn change(&mut self, node: usize, change: Change) -> bool {
+    pub(crate) fn change(&mut self, node: usize, change: AgreedCommand) -> bool {
         let clocks = self.clocks(node);
         self.tag += 1;
         let tag = self.tag;
-        let taken = self.nodes[node].member.as_mut().is_some_and(|m| m.command(tag, change, clocks));
+        let taken =
+            self.nodes[node].member.as_mut().is_some_and(|m| m.request_command(tag, change, clocks).is_ok());
         self.drain(node);
         self.wake(node);
         taken
@@ -760,7 +778,7 @@
             strained: false,
             looks: false,
         };
-        member.says(said, clocks);
+        member.report_maintenance(said, clocks);
     }
 
     /// The stage of a machine as a front's view has it.
@@ -824,7 +842,7 @@
     }
 
     fn keep_agreed(&mut self, node: usize) {
-        let Some(state) = self.nodes[node].member.as_ref().and_then(Member::jobs) else { return };
+        let Some(state) = self.nodes[node].member.as_ref().and_then(FleetNode::maintenance) else { return };
         let place = |s: &elmtide_work::State| (s.version(), s.number(), s.at(), s.jobs().len());
         if self.agreed.as_ref().is_none_or(|before| place(state) >= place(before) && state != before) {
             self.agreed = Some(state.clone());
@@ -897,7 +915,7 @@
         }
     }
 
-    pub(crate) fn looker(&mut self, node: usize) -> Option<(&mut Member, &mut Looker)> {
+    pub(crate) fn looker(&mut self, node: usize) -> Option<(&mut FleetNode, &mut Looker)> {
         let place = &mut self.nodes[node];
         place.member.as_mut().zip(place.looker.as_mut())
     }
@@ -942,7 +960,7 @@
     pub fn leader(&self) -> Option<usize> {
         let clocks = Clocks::default();
         (0..self.nodes.len()).find(|n| {
-            self.nodes[*n].member.as_ref().is_some_and(|m| m.status(clocks).role == "leader")
+            self.nodes[*n].member.as_ref().is_some_and(|m| m.status(clocks).role == NodeRole::Leader)
                 && self.now >= self.nodes[*n].stalled_until
         })
     }
@@ -959,11 +977,11 @@
         self.setup.voters
     }
 
-    pub fn member(&self, node: usize) -> Option<&Member> {
+    pub fn member(&self, node: usize) -> Option<&FleetNode> {
         self.nodes[node].member.as_ref()
     }
 
-    pub fn status(&self, node: usize) -> Option<elmtide_fleet::Status> {
+    pub fn status(&self, node: usize) -> Option<elmtide_fleet::NodeStatus> {
         let clocks = self.clocks(node);
         self.nodes[node].member.as_ref().map(|m| m.status(clocks))
     }
--- a/model/tests/fleet.rs
+++ b/model/tests/fleet.rs
@@ -3,6 +3,7 @@
 use elmtide_budgets::MinimumRule;
 use elmtide_budgets::TotalLimit;
 use elmtide_budgets::{BudgetId, BudgetKind};
+use elmtide_fleet::node::status::NodeRole;
 use elmtide_model::schedule::{play, Rough};
 use elmtide_model::{Disk, Net, Setup, World};
 
@@ -121,7 +122,7 @@
     world.run(SECOND);
     world.start(victim);
     world.run(6 * SECOND);
-    assert_eq!(world.status(victim).unwrap().role, "voter");
+    assert_eq!(world.status(victim).unwrap().role, NodeRole::Follower);
     assert!(world.part(victim, KEY).0 > 100_000);
     // A copy from before: it is found out by the others, who have seen a later run.
     world.kill(victim, Disk::Kept);
@@ -131,8 +132,8 @@
     assert!(world
         .said
         .iter()
-        .any(|(_, n, e)| *n == victim && matches!(e, elmtide_fleet::member::Event::StoreStale { .. })));
-    assert_eq!(world.status(victim).unwrap().role, "voter");
+        .any(|(_, n, e)| *n == victim && matches!(e, elmtide_fleet::Event::StoreStale { .. })));
+    assert_eq!(world.status(victim).unwrap().role, NodeRole::Follower);
     clean(&mut world);
 }
 
@@ -146,9 +147,9 @@
     world.demand(other, KEY, 1.0);
     world.run(6 * SECOND);
     assert!(
-        world.status(victim).unwrap().role.contains("does not vote"),
+        world.status(victim).unwrap().role == NodeRole::Failed,
         "{:?}",
-        world.status(victim).unwrap().role
+        world.status(victim).unwrap().role.name()
     );
     assert!(world.part(victim, KEY).0 > 0, "it goes on holding a share");
     clean(&mut world);
--- a/standins/src/links.rs
+++ b/standins/src/links.rs
@@ -9,7 +9,7 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-use elmtide_fleet::frame::peek;
+use elmtide_fleet::datagram::{peek, PeekedKind};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
@@ -41,7 +41,7 @@
 #[derive(Debug, Default)]
 struct Held {
     /// Words of this kind are held back, and those kept so far.
-    kind: Option<&'static str>,
+    kind: Option<PeekedKind>,
     kept: Vec<Vec<u8>>,
 }
 
@@ -156,7 +156,7 @@
     }
 
     /// Holds back words of a kind that one front sends, until [`Links::release`].
-    pub fn hold(&self, from: usize, kind: &'static str) {
+    pub fn hold(&self, from: usize, kind: PeekedKind) {
         for (_, pair) in self.pairs.iter().filter(|((f, _), _)| *f == from) {
             lock(&pair.held).kind = Some(kind);
         }
@@ -223,7 +223,7 @@
         let mut datagram = bytes[..got].to_vec();
         {
             let mut held = lock(&pair.held);
-            let kind = peek(&datagram).map(|(_, _, kind)| kind);
+            let kind = peek(&datagram).map(|peeked| peeked.kind);
             if held.kind.is_some() && held.kind == kind {
                 held.kept.push(datagram);
                 continue;
--- a/store/src/lib.rs
+++ b/store/src/lib.rs
@@ -1,174 +1,98 @@
-//! What must outlive a process: the number and the log of a voter, the front's incarnation, its floors.
+//! Stable storage of a process: the id and the log of a voter, the front's incarnation, its guaranteed minimums.
 //!
-//! **Invariant: what a call said is kept is there after any crash, and a store that can't be trusted is refused, never guessed at.**
-//! It rests on the file system keeping what it synced, and on `redb` (one file, one process at a time, transactions). Each
-//! record has a checksum of its own besides, the file says its format and its installation, and each opening raises the incarnation.
+//! **Invariant: what a call has reported as written is there after any crash, and a store that can't be trusted is rejected,
+//! never guessed at.** It rests on the file system keeping what it synced, and on `redb` (one file, one process at a time,
+//! transactions). Each record has a checksum of its own besides, the file names its format and its installation, and each
+//! opening raises the incarnation.
 //!
 //! | what is found | what is done |
 //! | --- | --- |
 //! | no file | a new store, incarnation 1 |
-//! | another process has it | refused: [`StoreError::InUse`] |
-//! | of another installation or a format to come | refused, the file is left as it is |
-//! | torn, a record that does not fit its checksum, a log with a hole | refused: [`StoreError::Torn`] |
+//! | another process has it open | rejected: [`StoreError::InUse`] |
+//! | of another installation or a later format | rejected, the file is left as it is |
+//! | torn, a record that does not fit its checksum, a log with a gap | rejected: [`StoreError::Corrupt`] |
 //! | a copy from before | not seen here: others have seen a later incarnation, see `elmtide_fleet::Member` |
-//! | full | the call fails, nothing of it is kept; the voter votes no more |
+//! | full | the call fails, nothing of it is written; the voter votes no more |
+
+mod error;
+mod record;
 
-use std::fmt;
 use std::path::{Path, PathBuf};
 
 use elmtide_budgets::GuaranteedMinimums;
 use elmtide_consensus::records::{HardState, LogEntry, StorageUpdate, StoredLog};
 use elmtide_consensus::VoterId;
-use elmtide_fleet::Kept;
-use redb::{Database, DatabaseError, ReadableDatabase, ReadableTable, TableDefinition, WriteTransaction};
+use elmtide_fleet::RecoveredState;
+use redb::{
+    Database, DatabaseError, ReadTransaction, ReadableDatabase, ReadableTable, StorageError, TableDefinition,
+};
+use redb::{TableError, WriteTransaction};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
-const FORMAT: u32 = 1;
-const META: TableDefinition<&str, &[u8]> = TableDefinition::new("meta");
-const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
-/// Memory that the database keeps of its file.
-const CACHE: usize = 1 << 20;
-
-#[derive(Debug)]
-pub enum StoreError {
-    /// Another process has it open.
-    InUse,
-    /// Of another installation.
-    Foreign { of: String },
-    /// Written by another version.
-    Format { found: u32 },
-    /// It can't be trusted: what does not fit.
-    Torn(String),
-    /// The file system said no.
-    Io(String),
-}
-
-impl fmt::Display for StoreError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            StoreError::InUse => write!(f, "another process has the store open: end it first"),
-            StoreError::Foreign { of } => {
-                write!(f, "the store is of the installation {of:?}: name another file, or take this one away")
-            }
-            StoreError::Format { found } => {
-                write!(f, "the store is of format {found}, this program knows {FORMAT}")
-            }
-            StoreError::Torn(why) => {
-                write!(
-                    f,
-                    "the store can't be trusted ({why}): take it away, the front comes back as a new voter"
-                )
-            }
-            StoreError::Io(why) => write!(f, "the store can't be read or written: {why}"),
-        }
-    }
-}
-
-impl std::error::Error for StoreError {}
-
-fn failed(why: impl fmt::Display) -> StoreError {
-    StoreError::Io(why.to_string())
-}
-
-fn encode(value: &impl Serialize) -> Result<Vec<u8>, StoreError> {
-    let body = postcard::to_allocvec(value).map_err(failed)?;
-    Ok([&crc32c::crc32c(&body).to_le_bytes()[..], &body].concat())
-}
-
-fn decode<T: DeserializeOwned>(what: &str, bytes: &[u8]) -> Result<T, StoreError> {
-    let torn = || StoreError::Torn(format!("{what} does not fit its checksum"));
-    let (sum, body) = bytes.split_at_checked(4).ok_or_else(torn)?;
-    if crc32c::crc32c(body).to_le_bytes() != sum {
-        return Err(torn());
-    }
-    postcard::from_bytes(body).map_err(|_| torn())
+pub use error::{Corruption, StoreError};
+use record::{decode, encode};
+
+pub(crate) const FORMAT_VERSION: u32 = 1;
+const META_TABLE: TableDefinition<&str, &[u8]> = TableDefinition::new("meta");
+const LOG_TABLE: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
+/// Memory that the database uses to cache its file, in bytes.
+const CACHE_BYTES: usize = 1 << 20;
+
+/// Keys of the meta table.
+mod key {
+    pub(crate) const FORMAT: &str = "format";
+    pub(crate) const INSTALLATION: &str = "installation";
+    pub(crate) const INCARNATION: &str = "incarnation";
+    pub(crate) const VOTER: &str = "voter";
+    pub(crate) const MINIMUMS: &str = "floors";
+    pub(crate) const HARD_STATE: &str = "vote";
+    pub(crate) const SNAPSHOT: &str = "state";
 }
 
+/// An open store. The file is this process's alone while it is open.
 pub struct Store {
-    db: Database,
+    database: Database,
     path: PathBuf,
 }
 
 impl Store {
-    /// Opens it, or makes a new one, and raises the incarnation, which is synced before this returns.
-    pub fn open(path: &Path, installation: &str) -> Result<(Store, Kept), StoreError> {
+    /// Opens a store, or creates it, and raises the incarnation, which is synced before this returns.
+    ///
+    /// # Errors
+    /// If the file is in use, belongs to another installation or format, can't be trusted, or can't be read or written.
+    pub fn open(path: &Path, installation: &str) -> Result<(Store, RecoveredState), StoreError> {
         let mut builder = Database::builder();
-        builder.set_cache_size(CACHE);
-        let db = builder.create(path).map_err(|e| match e {
-            DatabaseError::DatabaseAlreadyOpen | DatabaseError::LockProtocolMismatch => StoreError::InUse,
-            DatabaseError::UpgradeRequired(found) => StoreError::Format { found: u32::from(found) },
-            DatabaseError::Storage(redb::StorageError::Corrupted(why)) => StoreError::Torn(why),
-            DatabaseError::Storage(redb::StorageError::Io(why))
-                if why.kind() == std::io::ErrorKind::InvalidData =>
-            {
-                StoreError::Torn(why.to_string())
-            }
-            other => failed(other),
-        })?;
-        let store = Store { db, path: path.to_owned() };
-        let mut kept = store.read(installation)?;
-        kept.incarnation += 1;
-        store.write(|write| {
-            put(write, "format", &FORMAT)?;
-            put(write, "installation", &installation)?;
-            put(write, "incarnation", &kept.incarnation)
+        builder.set_cache_size(CACHE_BYTES);
+        let database = builder.create(path).map_err(open_error)?;
+        let store = Store { database, path: path.to_owned() };
+        let mut recovered = store.read(installation)?;
+        recovered.incarnation += 1;
+        store.write(|transaction| {
+            put(transaction, key::FORMAT, &FORMAT_VERSION)?;
+            put(transaction, key::INSTALLATION, &installation)?;
+            put(transaction, key::INCARNATION, &recovered.incarnation)
         })?;
-        Ok((store, kept))
+        Ok((store, recovered))
     }
 
-    fn read(&self, installation: &str) -> Result<Kept, StoreError> {
-        let read = self.db.begin_read().map_err(failed)?;
-        let meta = match read.open_table(META) {
-            Ok(meta) => meta,
-            Err(redb::TableError::TableDoesNotExist(_)) => return Ok(new_kept()),
-            Err(why) => return Err(StoreError::Torn(why.to_string())),
+    fn read(&self, installation: &str) -> Result<RecoveredState, StoreError> {
+        let transaction = self.database.begin_read().map_err(StoreError::database)?;
+        let Some(meta) = MetaRecords::open(&transaction)? else { return Ok(empty_state()) };
+        meta.check_identity(installation)?;
+        let mut state = empty_state();
+        state.incarnation = meta.get(key::INCARNATION)?.ok_or(Corruption::NoIncarnation)?;
+        state.voter = meta.get(key::VOTER)?;
+        state.minimums = meta.get(key::MINIMUMS)?.unwrap_or_default();
+        state.log = StoredLog {
+            hard_state: meta.get::<HardState>(key::HARD_STATE)?.unwrap_or_default(),
+            snapshot: meta.get(key::SNAPSHOT)?.unwrap_or_default(),
+            entries: read_entries(&transaction)?,
         };
-        let get = |key: &str| -> Result<Option<Vec<u8>>, StoreError> {
-            let value = meta.get(key).map_err(|e| StoreError::Torn(e.to_string()))?;
-            Ok(value.map(|v| v.value().to_vec()))
-        };
-        fn read_as<T: DeserializeOwned>(what: &str, bytes: Option<Vec<u8>>) -> Result<Option<T>, StoreError> {
-            bytes.map(|b| decode(what, &b)).transpose()
-        }
-        let format: u32 =
-            read_as("format", get("format")?)?.ok_or(StoreError::Torn("it says no format".into()))?;
-        if format != FORMAT {
-            return Err(StoreError::Format { found: format });
-        }
-        let of: String = read_as("installation", get("installation")?)?.unwrap_or_default();
-        if of != installation {
-            return Err(StoreError::Foreign { of });
-        }
-        let incarnation: Option<u64> = read_as("incarnation", get("incarnation")?)?;
-        let mut kept = new_kept();
-        kept.incarnation = incarnation.ok_or(StoreError::Torn("it has no incarnation".into()))?;
-        kept.voter = read_as("voter", get("voter")?)?;
-        kept.floors = read_as("floors", get("floors")?)?.unwrap_or_default();
-        let mut stored = StoredLog {
-            hard_state: read_as::<HardState>("vote", get("vote")?)?.unwrap_or_default(),
-            snapshot: read_as("state", get("state")?)?.unwrap_or_default(),
-            entries: Vec::new(),
-        };
-        match read.open_table(LOG) {
-            Ok(log) => {
-                for row in log.iter().map_err(|e| StoreError::Torn(e.to_string()))? {
-                    let (index, value) = row.map_err(|e| StoreError::Torn(e.to_string()))?;
-                    let entry: LogEntry = decode("an entry", value.value())?;
-                    if entry.index != index.value() {
-                        return Err(StoreError::Torn("an entry is in another's place".into()));
-                    }
-                    stored.entries.push(entry);
-                }
-            }
-            Err(redb::TableError::TableDoesNotExist(_)) => {}
-            Err(why) => return Err(StoreError::Torn(why.to_string())),
+        if !state.log.is_consistent() {
+            return Err(Corruption::InconsistentLog.into());
         }
-        if !stored.is_consistent() {
-            return Err(StoreError::Torn("the log has a hole, or does not fit its state".into()));
-        }
-        kept.stored = stored;
-        Ok(kept)
+        Ok(state)
     }
 
     /// One transaction, synced when this returns.
@@ -176,72 +100,154 @@
         &self,
         change: impl FnOnce(&WriteTransaction) -> Result<(), StoreError>,
     ) -> Result<(), StoreError> {
-        let write = self.db.begin_write().map_err(failed)?;
-        change(&write)?;
-        write.commit().map_err(failed)
+        let transaction = self.database.begin_write().map_err(StoreError::database)?;
+        change(&transaction)?;
+        transaction.commit().map_err(StoreError::database)
     }
 
-    /// The log's part, whole or not at all.
-    pub fn keep(&self, persist: &StorageUpdate) -> Result<(), StoreError> {
-        self.write(|write| {
-            let mut log = write.open_table(LOG).map_err(failed)?;
-            if let Some(kept) = &persist.snapshot {
-                put(write, "state", kept)?;
-                log.retain(|_, _| false).map_err(failed)?;
+    /// Writes an update of the log: all of it, or nothing.
+    ///
+    /// # Errors
+    /// If the file can't be written; the store has its content from before then.
+    pub fn write_log(&self, update: &StorageUpdate) -> Result<(), StoreError> {
+        self.write(|transaction| {
+            let mut log = transaction.open_table(LOG_TABLE).map_err(StoreError::database)?;
+            if let Some(snapshot) = &update.snapshot {
+                put(transaction, key::SNAPSHOT, snapshot)?;
+                log.retain(|_, _| false).map_err(StoreError::database)?;
+            }
+            if let Some(first) = update.entries.first() {
+                log.retain_in(first.index.., |_, _| false).map_err(StoreError::database)?;
             }
-            if let Some(first) = persist.entries.first() {
-                log.retain_in(first.index.., |_, _| false).map_err(failed)?;
-                for entry in &persist.entries {
-                    log.insert(entry.index, &encode(entry)?[..]).map_err(failed)?;
-                }
+            for entry in &update.entries {
+                log.insert(entry.index, &encode(entry)?[..]).map_err(StoreError::database)?;
             }
-            if let Some(vote) = &persist.hard_state {
-                put(write, "vote", vote)?;
+            if let Some(hard_state) = &update.hard_state {
+                put(transaction, key::HARD_STATE, hard_state)?;
             }
-            if let Some(compaction) = &persist.compaction {
-                put(write, "state", &compaction.snapshot)?;
-                log.retain_in(..compaction.first_index, |_, _| false).map_err(failed)?;
+            if let Some(compaction) = &update.compaction {
+                put(transaction, key::SNAPSHOT, &compaction.snapshot)?;
+                log.retain_in(..compaction.first_index, |_, _| false).map_err(StoreError::database)?;
             }
             Ok(())
         })
     }
 
-    pub fn keep_number(&self, voter: VoterId) -> Result<(), StoreError> {
-        self.write(|write| put(write, "voter", &voter))
+    /// Writes the id of the voter that this store belongs to.
+    ///
+    /// # Errors
+    /// If the file can't be written.
+    pub fn write_voter_id(&self, voter: VoterId) -> Result<(), StoreError> {
+        self.write(|transaction| put(transaction, key::VOTER, &voter))
     }
 
-    pub fn keep_floors(&self, floors: &GuaranteedMinimums) -> Result<(), StoreError> {
-        self.write(|write| put(write, "floors", floors))
+    /// Writes the guaranteed minimums that this front may use from now on.
+    ///
+    /// # Errors
+    /// If the file can't be written.
+    pub fn write_minimums(&self, minimums: &GuaranteedMinimums) -> Result<(), StoreError> {
+        self.write(|transaction| put(transaction, key::MINIMUMS, minimums))
     }
 
-    /// Forgets all but the installation, and goes on after an incarnation that others have seen.
-    pub fn begin_anew(&self, seen: u64) -> Result<Kept, StoreError> {
-        let mut kept = new_kept();
-        kept.incarnation = seen + 1;
-        self.write(|write| {
-            let mut log = write.open_table(LOG).map_err(failed)?;
-            log.retain(|_, _| false).map_err(failed)?;
-            let mut meta = write.open_table(META).map_err(failed)?;
-            for key in ["voter", "floors", "vote", "state"] {
-                meta.remove(key).map_err(failed)?;
+    /// Forgets everything but the installation, and goes on after an incarnation that others have seen.
+    ///
+    /// # Errors
+    /// If the file can't be written.
+    pub fn reset(&self, seen_incarnation: u64) -> Result<RecoveredState, StoreError> {
+        let mut state = empty_state();
+        state.incarnation = seen_incarnation + 1;
+        self.write(|transaction| {
+            let mut log = transaction.open_table(LOG_TABLE).map_err(StoreError::database)?;
+            log.retain(|_, _| false).map_err(StoreError::database)?;
+            let mut meta = transaction.open_table(META_TABLE).map_err(StoreError::database)?;
+            for key in [key::VOTER, key::MINIMUMS, key::HARD_STATE, key::SNAPSHOT] {
+                meta.remove(key).map_err(StoreError::database)?;
             }
             drop(meta);
-            put(write, "incarnation", &kept.incarnation)
+            put(transaction, key::INCARNATION, &state.incarnation)
         })?;
-        Ok(kept)
+        Ok(state)
     }
 
+    /// Where the file is.
     pub fn path(&self) -> &Path {
         &self.path
     }
 }
 
-fn new_kept() -> Kept {
-    Kept { lasting: true, ..Kept::default() }
+fn open_error(error: DatabaseError) -> StoreError {
+    match error {
+        DatabaseError::DatabaseAlreadyOpen | DatabaseError::LockProtocolMismatch => StoreError::InUse,
+        DatabaseError::UpgradeRequired(found) => StoreError::UnknownFormat { found: u32::from(found) },
+        DatabaseError::Storage(error) if is_corruption(&error) => Corruption::database(error).into(),
+        other => StoreError::database(other),
+    }
+}
+
+fn is_corruption(error: &StorageError) -> bool {
+    match error {
+        StorageError::Corrupted(_) => true,
+        StorageError::Io(error) => error.kind() == std::io::ErrorKind::InvalidData,
+        _ => false,
+    }
+}
+
+fn empty_state() -> RecoveredState {
+    RecoveredState { durable: true, ..RecoveredState::default() }
+}
+
+/// The meta table in one read transaction.
+struct MetaRecords(redb::ReadOnlyTable<&'static str, &'static [u8]>);
+
+impl MetaRecords {
+    /// `None` in a new store.
+    fn open(transaction: &ReadTransaction) -> Result<Option<MetaRecords>, Corruption> {
+        match transaction.open_table(META_TABLE) {
+            Ok(table) => Ok(Some(MetaRecords(table))),
+            Err(TableError::TableDoesNotExist(_)) => Ok(None),
+            Err(error) => Err(Corruption::database(error)),
+        }
+    }
+
+    fn get<T: DeserializeOwned>(&self, key: &'static str) -> Result<Option<T>, Corruption> {
+        let record = self.0.get(key).map_err(Corruption::database)?;
+        record.map(|record| decode(key, record.value())).transpose()
+    }
+
+    /// Checks the format before anything else is decoded, then the installation.
+    fn check_identity(&self, installation: &str) -> Result<(), StoreError> {
+        let format: u32 = self.get(key::FORMAT)?.ok_or(Corruption::NoFormat)?;
+        if format != FORMAT_VERSION {
+            return Err(StoreError::UnknownFormat { found: format });
+        }
+        let found: String = self.get(key::INSTALLATION)?.unwrap_or_default();
+        if found != installation {
+            return Err(StoreError::OtherInstallation { found });
+        }
+        Ok(())
+    }
+}
+
+fn read_entries(transaction: &ReadTransaction) -> Result<Vec<LogEntry>, Corruption> {
+    let log = match transaction.open_table(LOG_TABLE) {
+        Ok(log) => log,
+        Err(TableError::TableDoesNotExist(_)) => return Ok(Vec::new()),
+        Err(error) => return Err(Corruption::database(error)),
+    };
+    let mut entries = Vec::new();
+    for row in log.iter().map_err(Corruption::database)? {
+        let (index, record) = row.map_err(Corruption::database)?;
+        let entry: LogEntry = decode("an entry", record.value())?;
+        if entry.index != index.value() {
+            return Err(Corruption::MisplacedEntry);
+        }
+        entries.push(entry);
+    }
+    Ok(entries)
 }
 
-fn put(write: &WriteTransaction, key: &str, value: &impl Serialize) -> Result<(), StoreError> {
-    let mut meta = write.open_table(META).map_err(failed)?;
-    meta.insert(key, &encode(value)?[..]).map_err(failed)?;
+fn put(transaction: &WriteTransaction, key: &str, value: &impl Serialize) -> Result<(), StoreError> {
+    let mut meta = transaction.open_table(META_TABLE).map_err(StoreError::database)?;
+    meta.insert(key, &encode(value)?[..]).map_err(StoreError::database)?;
     Ok(())
 }
--- a/store/tests/golden.rs
+++ b/store/tests/golden.rs
@@ -58,15 +58,15 @@
 }
 
 fn write_all(store: &Store) {
-    store.keep_number(VoterId(77)).unwrap();
+    store.write_voter_id(VoterId(77)).unwrap();
     let persist = StorageUpdate {
         snapshot: Some(snapshot()),
         entries: entries(),
         hard_state: Some(vote()),
         compaction: None,
     };
-    store.keep(&persist).unwrap();
-    store.keep_floors(&floors()).unwrap();
+    store.write_log(&persist).unwrap();
+    store.write_minimums(&floors()).unwrap();
 }
 
 /// All records of a store's file, as they lie there.
@@ -104,24 +104,24 @@
     fs::copy(golden("store.redb"), &old.0).unwrap();
     let before = records(&old.0);
     let (store, kept) = Store::open(&old.0, INSTALLATION).unwrap();
-    assert_eq!((kept.incarnation, kept.voter, kept.lasting), (2, Some(VoterId(77)), true));
-    assert_eq!(kept.floors, floors());
-    assert_eq!((kept.stored.hard_state, &kept.stored.snapshot), (vote(), &snapshot()));
-    assert_eq!(kept.stored.entries, entries());
+    assert_eq!((kept.incarnation, kept.voter, kept.durable), (2, Some(VoterId(77)), true));
+    assert_eq!(kept.minimums, floors());
+    assert_eq!((kept.log.hard_state, &kept.log.snapshot), (vote(), &snapshot()));
+    assert_eq!(kept.log.entries, entries());
     drop(store);
 
     let copy = ScratchFile::new("copy");
     let (store, _) = Store::open(&copy.0, INSTALLATION).unwrap();
-    store.keep_number(kept.voter.unwrap()).unwrap();
-    let stored = kept.stored;
+    store.write_voter_id(kept.voter.unwrap()).unwrap();
+    let stored = kept.log;
     let persist = StorageUpdate {
         snapshot: Some(stored.snapshot),
         entries: stored.entries,
         hard_state: Some(stored.hard_state),
         compaction: None,
     };
-    store.keep(&persist).unwrap();
-    store.keep_floors(&kept.floors).unwrap();
+    store.write_log(&persist).unwrap();
+    store.write_minimums(&kept.minimums).unwrap();
     drop(store);
     assert_eq!(records(&copy.0), before);
 }
--- a/store/tests/store.rs
+++ b/store/tests/store.rs
@@ -34,11 +34,11 @@
 
 fn begun(file: &File) -> Store {
     let (store, _) = Store::open(&file.0, "duna").unwrap();
-    store.keep_number(VoterId(77)).unwrap();
+    store.write_voter_id(VoterId(77)).unwrap();
     let state = State { index: 1, term: 1, ..State::default() };
     let vote = Some(HardState { term: 3, vote: 77, commit: 1 });
     store
-        .keep(&StorageUpdate {
+        .write_log(&StorageUpdate {
             snapshot: Some(state),
             entries: entries(2, 9, 3),
             hard_state: vote,
@@ -54,33 +54,33 @@
     drop(begun(&file));
     let (store, kept) = Store::open(&file.0, "duna").unwrap();
     assert_eq!((kept.incarnation, kept.voter), (2, Some(VoterId(77))));
-    assert_eq!(kept.stored.hard_state, HardState { term: 3, vote: 77, commit: 1 });
-    assert_eq!(kept.stored.entries.len(), 8);
+    assert_eq!(kept.log.hard_state, HardState { term: 3, vote: 77, commit: 1 });
+    assert_eq!(kept.log.entries.len(), 8);
     // A later leader's entries take the place of those from an index on.
-    store.keep(&StorageUpdate { entries: entries(5, 6, 4), ..StorageUpdate::default() }).unwrap();
+    store.write_log(&StorageUpdate { entries: entries(5, 6, 4), ..StorageUpdate::default() }).unwrap();
     let floors = GuaranteedMinimums { epoch: Epoch(9), minimums: vec![(BudgetKind::Retries, 1000)] };
-    store.keep_floors(&floors).unwrap();
+    store.write_minimums(&floors).unwrap();
     drop(store);
     let (store, kept) = Store::open(&file.0, "duna").unwrap();
-    let terms: Vec<(u64, u64)> = kept.stored.entries.iter().map(|e| (e.index, e.term)).collect();
+    let terms: Vec<(u64, u64)> = kept.log.entries.iter().map(|e| (e.index, e.term)).collect();
     assert_eq!(terms, [(2, 3), (3, 3), (4, 3), (5, 4), (6, 4)]);
-    assert_eq!(kept.floors, floors);
+    assert_eq!(kept.minimums, floors);
     let state = State { index: 5, term: 4, ..State::default() };
     store
-        .keep(&StorageUpdate {
+        .write_log(&StorageUpdate {
             compaction: Some(Compaction { snapshot: state, first_index: 4 }),
             ..StorageUpdate::default()
         })
         .unwrap();
     drop(store);
     let (store, kept) = Store::open(&file.0, "duna").unwrap();
-    assert_eq!(kept.stored.entries.iter().map(|e| e.index).collect::<Vec<_>>(), [4, 5, 6]);
+    assert_eq!(kept.log.entries.iter().map(|e| e.index).collect::<Vec<_>>(), [4, 5, 6]);
     assert_eq!(kept.incarnation, 4);
     // After others have seen more, it begins anew above that.
-    assert_eq!(store.begin_anew(40).unwrap().incarnation, 41);
+    assert_eq!(store.reset(40).unwrap().incarnation, 41);
     drop(store);
     let (_, kept) = Store::open(&file.0, "duna").unwrap();
-    assert_eq!((kept.incarnation, kept.voter, kept.stored.entries.len()), (42, None, 0));
+    assert_eq!((kept.incarnation, kept.voter, kept.log.entries.len()), (42, None, 0));
 }
 
 #[test]
@@ -89,7 +89,9 @@
     let store = begun(&file);
     assert!(matches!(Store::open(&file.0, "duna"), Err(StoreError::InUse)));
     drop(store);
-    assert!(matches!(Store::open(&file.0, "tisza"), Err(StoreError::Foreign { of }) if of == "duna"));
+    assert!(
+        matches!(Store::open(&file.0, "tisza"), Err(StoreError::OtherInstallation { found }) if found == "duna")
+    );
     assert_eq!(Store::open(&file.0, "duna").unwrap().1.incarnation, 2, "a refusal changes nothing");
 }
 
@@ -118,8 +120,8 @@
             let opened = std::panic::catch_unwind(|| Store::open(&torn.0, "duna").map(|(_, kept)| kept));
             match opened {
                 Ok(Ok(kept)) => {
-                    assert_eq!((kept.voter, kept.stored.entries.len()), (Some(VoterId(77)), 8), "at {place}");
-                    assert_eq!(kept.stored.hard_state.term, 3, "at {place}");
+                    assert_eq!((kept.voter, kept.log.entries.len()), (Some(VoterId(77)), 8), "at {place}");
+                    assert_eq!(kept.log.hard_state.term, 3, "at {place}");
                     same += 1;
                 }
                 Ok(Err(_)) => refused += 1,
@@ -138,5 +140,5 @@
     assert!(Store::open(&file.0, "duna").is_err());
     assert_eq!(fs::read(&file.0).unwrap().len(), 17 * 500, "it is left as it is");
     let folder = File::new();
-    assert!(matches!(Store::open(&folder.0.join("none/there"), "duna"), Err(StoreError::Io(_))));
+    assert!(matches!(Store::open(&folder.0.join("none/there"), "duna"), Err(StoreError::Database(_))));
 }
