--- a/core/fleet/src/agreed_state.rs
+++ b/core/fleet/src/agreed_state.rs
@@ -4,7 +4,7 @@
 
 use elmtide_budgets::{BudgetCommand, BudgetState, FrontId};
 use elmtide_consensus::{StateMachine, VoterId};
-use elmtide_work::JobId;
+use elmtide_maintenance::JobId;
 use serde::{Deserialize, Serialize};
 
 /// Most fronts that have ever had a vote.
@@ -23,7 +23,7 @@
         voter: VoterId,
     },
     /// Machines in maintenance.
-    Maintenance(elmtide_work::Command),
+    Maintenance(elmtide_maintenance::MaintenanceCommand),
     /// Sites that are lost.
     Sites(elmtide_sites::Command),
 }
@@ -38,7 +38,7 @@
     /// More fronts have had a vote than are accounted for.
     TooManyVoters,
     /// Of a command on maintenance: the job, or why it did nothing.
-    Maintenance(Result<JobId, elmtide_work::Refused>),
+    Maintenance(Result<JobId, elmtide_maintenance::CommandRejected>),
     /// Of a command on sites.
     Sites(Result<(), elmtide_sites::Refused>),
 }
@@ -61,7 +61,7 @@
     /// The store that each voting front votes with.
     pub voters: BTreeMap<FrontId, VoterId>,
     /// Machines in maintenance.
-    pub maintenance: elmtide_work::State,
+    pub maintenance: elmtide_maintenance::MaintenanceState,
     /// Sites that are lost.
     pub sites: elmtide_sites::State,
 }
@@ -80,9 +80,9 @@
     /// Fronts join and leave for all subsystems at once.
     fn update_presence(&mut self, command: &BudgetCommand) {
         match command {
-            BudgetCommand::Join { holder } => self.maintenance.joined(*holder),
-            BudgetCommand::Leave { holder } => self.maintenance.left(*holder),
-            BudgetCommand::RemoveFront { front } => self.maintenance.forgotten(*front),
+            BudgetCommand::Join { holder } => self.maintenance.on_join(*holder),
+            BudgetCommand::Leave { holder } => self.maintenance.on_leave(*holder),
+            BudgetCommand::RemoveFront { front } => self.maintenance.on_removed(*front),
             _ => {}
         }
     }
--- a/core/fleet/src/message.rs
+++ b/core/fleet/src/message.rs
@@ -41,13 +41,13 @@
     /// What became of a command.
     CommandOutcome(CommandId, CommandOutcome),
     /// A lease request with what the front reports on machines in maintenance.
-    MaintenanceLeaseRequest(LeaseRequest, elmtide_work::Said),
+    MaintenanceLeaseRequest(LeaseRequest, elmtide_maintenance::MaintenanceReport),
     /// A response with the view of machines in maintenance.
-    MaintenanceLeaseResponse(LeaseResponse, elmtide_work::View),
+    MaintenanceLeaseResponse(LeaseResponse, elmtide_maintenance::MaintenanceView),
     /// A lease request with what the front reports on other sites, and maybe on machines in maintenance.
-    SiteLeaseRequest(LeaseRequest, Option<elmtide_work::Said>, elmtide_sites::Said),
+    SiteLeaseRequest(LeaseRequest, Option<elmtide_maintenance::MaintenanceReport>, elmtide_sites::Said),
     /// A response with the view of sites, and maybe of machines in maintenance.
-    SiteLeaseResponse(LeaseResponse, Option<elmtide_work::View>, elmtide_sites::View),
+    SiteLeaseResponse(LeaseResponse, Option<elmtide_maintenance::MaintenanceView>, elmtide_sites::View),
     /// A sign of life for fronts of other sites.
     SiteHeartbeat,
 }
@@ -56,7 +56,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Reports {
     /// On machines in maintenance.
-    pub maintenance: Option<elmtide_work::Said>,
+    pub maintenance: Option<elmtide_maintenance::MaintenanceReport>,
     /// On other sites.
     pub sites: Option<elmtide_sites::Said>,
 }
@@ -76,7 +76,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Views {
     /// Machines in maintenance.
-    pub maintenance: Option<elmtide_work::View>,
+    pub maintenance: Option<elmtide_maintenance::MaintenanceView>,
     /// Sites.
     pub sites: Option<elmtide_sites::View>,
 }
--- a/core/fleet/src/node/commands.rs
+++ b/core/fleet/src/node/commands.rs
@@ -220,16 +220,16 @@
 
 /// The command as the leader proposes it; `None` for one that only a leader may propose. The time in it is the leader's.
 fn accepted_from_clients(mut command: AgreedCommand, now: Clocks) -> Option<AgreedCommand> {
+    use elmtide_maintenance::MaintenanceCommand as Maintenance;
     use elmtide_sites::Command as Sites;
-    use elmtide_work::Command as Maintenance;
     let now_ms = now.wall / 1000;
     let is_accepted = match &mut command {
         AgreedCommand::Budgets(_) => true,
-        AgreedCommand::Maintenance(Maintenance::Out { at, .. }) => {
+        AgreedCommand::Maintenance(Maintenance::Request { at_ms: at, .. }) => {
             *at = now_ms;
             true
         }
-        AgreedCommand::Maintenance(Maintenance::Seen { .. } | Maintenance::Step { .. }) => false,
+        AgreedCommand::Maintenance(Maintenance::Acknowledge { .. } | Maintenance::Advance { .. }) => false,
         AgreedCommand::Maintenance(_) => true,
         AgreedCommand::Sites(Sites::Operator { at, .. }) => {
             *at = now_ms;
@@ -246,7 +246,7 @@
         AgreedCommand::Budgets(BudgetCommand::UpdateFronts { .. }) => CommandSummary::FrontList,
         AgreedCommand::Budgets(BudgetCommand::Leave { .. }) => CommandSummary::Leave,
         AgreedCommand::Budgets(BudgetCommand::RemoveFront { .. }) => CommandSummary::RemoveFront,
-        AgreedCommand::Maintenance(elmtide_work::Command::Layout { .. })
+        AgreedCommand::Maintenance(elmtide_maintenance::MaintenanceCommand::UpdateMachines { .. })
         | AgreedCommand::Sites(elmtide_sites::Command::Layout { .. }) => CommandSummary::Layout,
         _ => CommandSummary::Other,
     }
--- a/core/fleet/src/node/leadership.rs
+++ b/core/fleet/src/node/leadership.rs
@@ -3,7 +3,7 @@
 
 use elmtide_budgets::{BudgetCommand, Clocks, FrontId, HolderId, LeaseAllocator, LeaseRequest, Micros};
 use elmtide_consensus::{Role, VoterId};
-use elmtide_work::conductor::Now as MaintenanceClock;
+use elmtide_maintenance::CoordinatorInput as MaintenanceClock;
 
 use super::voting::{ActiveVoter, Leadership, VoterState};
 use super::FleetNode;
@@ -97,7 +97,7 @@
             active.leadership = Some(Leadership {
                 term,
                 allocator: LeaseAllocator::new(lease_settings, now.monotonic),
-                maintenance: elmtide_work::Conductor::new(),
+                maintenance: elmtide_maintenance::MaintenanceCoordinator::new(),
                 sites: elmtide_sites::Conductor::default(),
             });
         }
@@ -276,7 +276,7 @@
         let agreed = self.voter.machine();
         let mut holders = leadership.allocator.holders_to_notify(&agreed.budgets);
         if agreed.maintenance.version() > 0 {
-            holders.extend(leadership.maintenance.pokes(&agreed.maintenance));
+            holders.extend(leadership.maintenance.holders_to_notify(&agreed.maintenance));
         }
         holders.extend(leadership.sites.behind(&agreed.sites));
         holders.sort_unstable();
@@ -289,7 +289,7 @@
         let agreed = self.voter.machine();
         let holder = request.holder;
         if let Some(report) = reports.maintenance {
-            leadership.maintenance.on_said(&agreed.maintenance, holder, report, now.monotonic);
+            leadership.maintenance.on_report(&agreed.maintenance, holder, report, now.monotonic);
         }
         if let Some(report) = reports.sites.filter(|_| agreed.budgets.current_holder(holder).is_some()) {
             leadership.sites.on_said(holder, report, now.monotonic);
@@ -310,15 +310,15 @@
         let longest_attempt = input.settings.lease.max_request_deadline + WRITE_ALLOWANCE;
         let drained_at = |holder| allocator.lease_expiry(holder, &agreed.budgets) + longest_attempt;
         let clock = MaintenanceClock {
-            steady: input.now.monotonic,
-            wall: input.now.wall / MICROS_PER_MS,
+            monotonic: input.now.monotonic,
+            wall_ms: input.now.wall / MICROS_PER_MS,
             lease: agreed.budgets.lease(),
-            me: input.own,
-            over_at: &drained_at,
+            own: input.own,
+            drained_at: &drained_at,
         };
         let proposal = self.maintenance.propose(&agreed.maintenance, &clock);
         plan.commands.extend(proposal.commands.into_iter().map(AgreedCommand::Maintenance));
-        plan.transfers_leadership = proposal.hand_over;
+        plan.transfers_leadership = proposal.transfers_leadership;
     }
 
     fn plan_sites(&mut self, agreed: &AgreedState, input: &PlanInput, plan: &mut LeaderPlan) {
--- a/core/fleet/src/node/lease.rs
+++ b/core/fleet/src/node/lease.rs
@@ -74,11 +74,11 @@
 
     /// What the front reports on machines in maintenance, from now on. That it decides by another view, that it has drained
     /// another machine, and that details are needed is reported at once.
-    pub fn report_maintenance(&mut self, report: elmtide_work::Said, now: Clocks) {
+    pub fn report_maintenance(&mut self, report: elmtide_maintenance::MaintenanceReport, now: Clocks) {
         let Some(before) = &mut self.reports.maintenance else { return };
-        let is_urgent = report.seen != before.seen
-            || report.clear.len() > before.clear.len()
-            || report.looks != before.looks;
+        let is_urgent = report.acknowledged != before.acknowledged
+            || report.drained.len() > before.drained.len()
+            || report.needs_details != before.needs_details;
         *before = report;
         if is_urgent {
             self.lease.request_soon(self.settings.tick, now);
@@ -206,8 +206,9 @@
             self.outputs.push_back(Output::ApplySiteView(leased));
         }
         if let Some(view) = views.maintenance {
-            self.lease.machines_version = view.version;
-            let leased = elmtide_work::view::Told { view, asked, ends };
+            self.lease.machines_version = view.machines_version;
+            let leased =
+                elmtide_maintenance::LeasedMaintenanceView { view, requested_at: asked, expires_at: ends };
             self.outputs.push_back(Output::ApplyMaintenanceView(leased));
         }
         self.outputs.push_back(Output::ApplyGrant(grant));
--- a/core/fleet/src/node/replication.rs
+++ b/core/fleet/src/node/replication.rs
@@ -226,7 +226,11 @@
     match (&applied.command, &applied.outcome) {
         (AgreedCommand::Sites(command), Some(CommandOutcome::Sites(Ok(())))) => site_event(command),
         (
-            AgreedCommand::Maintenance(elmtide_work::Command::Step { machine, step, .. }),
+            AgreedCommand::Maintenance(elmtide_maintenance::MaintenanceCommand::Advance {
+                machine,
+                step,
+                ..
+            }),
             Some(CommandOutcome::Maintenance(Ok(_))),
         ) => Some(Event::MachineAdvanced { machine: *machine, step: *step }),
         _ => None,
--- a/core/fleet/src/node/status.rs
+++ b/core/fleet/src/node/status.rs
@@ -135,7 +135,7 @@
     }
 
     /// The agreed state of machines in maintenance, if this node has one.
-    pub fn maintenance(&self) -> Option<&elmtide_work::State> {
+    pub fn maintenance(&self) -> Option<&elmtide_maintenance::MaintenanceState> {
         self.active_voter().map(|active| &active.voter.machine().maintenance)
     }
 
--- a/core/fleet/src/node/voting.rs
+++ b/core/fleet/src/node/voting.rs
@@ -76,7 +76,7 @@
 pub(super) struct Leadership {
     pub term: u64,
     pub allocator: LeaseAllocator,
-    pub maintenance: elmtide_work::Conductor,
+    pub maintenance: elmtide_maintenance::MaintenanceCoordinator,
     pub sites: elmtide_sites::Conductor,
 }
 
--- a/core/fleet/src/output.rs
+++ b/core/fleet/src/output.rs
@@ -3,9 +3,9 @@
 use elmtide_budgets::{Epoch, FrontId, Grant, GuaranteedMinimums};
 use elmtide_consensus::records::StorageUpdate;
 use elmtide_consensus::VoterId;
+use elmtide_maintenance::MachineId;
+use elmtide_maintenance::Step;
 use elmtide_sites::{SiteId, Standing};
-use elmtide_work::state::Step;
-use elmtide_work::MachineId;
 
 use crate::agreed_state::CommandOutcome;
 
@@ -28,7 +28,7 @@
     /// Sync these minimums and spend by them, then call [`FleetNode::on_applied`](crate::FleetNode::on_applied).
     ApplyMinimums(GuaranteedMinimums),
     /// Exclude these machines from now on.
-    ApplyMaintenanceView(elmtide_work::view::Told),
+    ApplyMaintenanceView(elmtide_maintenance::LeasedMaintenanceView),
     /// These sites are lost from now on.
     ApplySiteView(elmtide_sites::Told),
     /// The outcome of a command that was requested under this tag.
--- a/core/fleet/src/settings.rs
+++ b/core/fleet/src/settings.rs
@@ -5,7 +5,7 @@
 };
 use elmtide_consensus::records::StoredLog;
 use elmtide_consensus::VoterId;
-use elmtide_work::{Bounds, Spec};
+use elmtide_maintenance::{DisruptionBudget, MachineSpec};
 
 use crate::agreed_state::AgreedCommand;
 
@@ -24,9 +24,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct MaintenanceSettings {
     /// All machines.
-    pub machines: Vec<Spec>,
+    pub machines: Vec<MachineSpec>,
     /// How many may be out together.
-    pub bounds: Bounds,
+    pub bounds: DisruptionBudget,
 }
 
 /// What the configuration says of the fleet: the same at all fronts, by its version.
@@ -68,7 +68,11 @@
     pub(crate) fn machines_command(&self) -> Option<AgreedCommand> {
         let MaintenanceSettings { machines, bounds } = self.maintenance.clone()?;
         let version = self.version;
-        Some(AgreedCommand::Maintenance(elmtide_work::Command::Layout { version, machines, bounds }))
+        Some(AgreedCommand::Maintenance(elmtide_maintenance::MaintenanceCommand::UpdateMachines {
+            version,
+            machines,
+            budget: bounds,
+        }))
     }
 
     /// The command that puts the sites into force, where they are watched.
--- a/core/fleet/tests/golden.rs
+++ b/core/fleet/tests/golden.rs
@@ -9,13 +9,15 @@
 use elmtide_fleet::DatagramCodec;
 use elmtide_fleet::{AgreedCommand, AgreedState, CommandOutcome, PeerMessage};
 use elmtide_golden::GoldenFile;
+use elmtide_maintenance::report::{MachineObservation, MaintenanceDetails, ObservedState, WorkOutcome};
+use elmtide_maintenance::WaitReason;
+use elmtide_maintenance::{
+    DisruptionBudget, JobId, MachineId, MachineSpec, MaintenanceReport, MaintenanceView, ReturnPolicy, Stage,
+};
+use elmtide_maintenance::{DisruptionLimit, HostedFront, Job, MachineProgress, PlacedMachine, Step};
 use elmtide_sites::state::{SiteId, Standing};
 use elmtide_sites::view::Since;
 use elmtide_sites::watch::{Looks as SiteLooks, Word as SiteWord};
-use elmtide_work::plan::Wait;
-use elmtide_work::state::{Bound, Job, Step, Way};
-use elmtide_work::view::{Details, Looks, Placed, Sight, Work};
-use elmtide_work::{BackBy, Bounds, JobId, MachineId, Said, Spec, Stage, View};
 
 fn golden(name: &str) -> GoldenFile {
     GoldenFile::new(format!("{}/tests/golden/{name}", env!("CARGO_MANIFEST_DIR")))
@@ -30,7 +32,7 @@
 }
 
 fn machine(n: u64) -> MachineId {
-    MachineId::of(&format!("m{n}"))
+    MachineId::from_name(&format!("m{n}"))
 }
 
 fn ask() -> LeaseRequest {
@@ -58,93 +60,104 @@
     }
 }
 
-fn work_said() -> Said {
-    let sight = |looks, work| Sight { looks, born: 1_700_000_000_000, warm: 40, load: 900, work };
-    Said {
-        seen: Some(Epoch(6)),
-        clear: vec![machine(1)],
-        sights: vec![
-            (machine(1), sight(Looks::Ready, Work::NoneSent)),
-            (machine(2), sight(Looks::Draining, Work::NoneDone)),
-            (machine(3), sight(Looks::Failing, Work::Done)),
-            (machine(4), sight(Looks::Absent, Work::Done)),
+fn work_said() -> MaintenanceReport {
+    let sight = |looks, work| MachineObservation {
+        state: looks,
+        started_at_ms: 1_700_000_000_000,
+        warm_percent: 40,
+        load: 900,
+        work,
+    };
+    MaintenanceReport {
+        acknowledged: Some(Epoch(6)),
+        drained: vec![machine(1)],
+        observations: vec![
+            (machine(1), sight(ObservedState::Ready, WorkOutcome::NoneSent)),
+            (machine(2), sight(ObservedState::Draining, WorkOutcome::NoneSucceeded)),
+            (machine(3), sight(ObservedState::Failing, WorkOutcome::Succeeded)),
+            (machine(4), sight(ObservedState::Absent, WorkOutcome::Succeeded)),
         ],
-        strained: true,
-        looks: true,
+        is_overloaded: true,
+        needs_details: true,
     }
 }
 
-fn way(stage: Stage) -> Way {
-    Way {
+fn way(stage: Stage) -> MachineProgress {
+    MachineProgress {
         job: JobId(2),
         stage,
-        number: Epoch(6),
-        began: 1000,
-        since: 2000,
+        epoch: Epoch(6),
+        scheduled_at_ms: 1000,
+        stage_since_ms: 2000,
         permit: 4,
-        born: 500,
-        listed: true,
-        word: false,
-        overdue: true,
-        called_off: false,
+        started_at_ms: 500,
+        is_listed: true,
+        is_confirmed: false,
+        is_overdue: true,
+        is_cancelled: false,
     }
 }
 
-fn waits() -> Vec<Wait> {
+fn waits() -> Vec<WaitReason> {
     vec![
-        Wait::Held,
-        Wait::Bound(Bound::Location),
-        Wait::Bound(Bound::Hub),
-        Wait::Bound(Bound::Kind),
-        Wait::Bound(Bound::Pair(machine(9))),
-        Wait::Bound(Bound::Voters),
-        Wait::Load { bears: 900, wanted: 1200 },
-        Wait::Hours,
-        Wait::Strained(FrontId(2)),
-        Wait::Lost(machine(2)),
-        Wait::Overdue(machine(3)),
-        Wait::NotSeen(FrontId(3)),
-        Wait::Open(FrontId(4)),
-        Wait::NotHeard(FrontId(5)),
-        Wait::HandOver,
-        Wait::Majority,
-        Wait::Work,
-        Wait::Warms(30),
-        Wait::Fails(FrontId(6)),
-        Wait::Unproven(FrontId(7)),
-        Wait::NotReady,
-        Wait::Turn,
+        WaitReason::JobPaused,
+        WaitReason::DisruptionLimit(DisruptionLimit::Location),
+        WaitReason::DisruptionLimit(DisruptionLimit::Hub),
+        WaitReason::DisruptionLimit(DisruptionLimit::Kind),
+        WaitReason::DisruptionLimit(DisruptionLimit::Pair(machine(9))),
+        WaitReason::DisruptionLimit(DisruptionLimit::Voters),
+        WaitReason::CapacityShortfall { remaining: 900, required: 1200 },
+        WaitReason::Blackout,
+        WaitReason::FrontOverloaded(FrontId(2)),
+        WaitReason::MachineLost(machine(2)),
+        WaitReason::PermitOverdue(machine(3)),
+        WaitReason::NotAcknowledged(FrontId(3)),
+        WaitReason::OpenRequests(FrontId(4)),
+        WaitReason::FrontUnreachable(FrontId(5)),
+        WaitReason::LeadershipTransfer,
+        WaitReason::VoterMajority,
+        WaitReason::InMaintenance,
+        WaitReason::SlowStart(30),
+        WaitReason::Failing(FrontId(6)),
+        WaitReason::Unproven(FrontId(7)),
+        WaitReason::NotReady,
+        WaitReason::ReadyToAdvance,
     ]
 }
 
-fn work_view() -> View {
+fn work_view() -> MaintenanceView {
     let job = Job {
-        by: "ops".into(),
+        requested_by: "ops".into(),
         reason: "kernel".into(),
-        minutes: 20,
-        held: true,
-        called_off: false,
-        first: vec![machine(1)],
-        machines: 4,
-        done: 1,
+        expected_minutes: 20,
+        is_paused: true,
+        is_cancelled: false,
+        prioritized: vec![machine(1)],
+        machine_count: 4,
+        completed: 1,
         spared: 2,
-        began: 900,
-        ended: Some(950),
+        requested_at_ms: 900,
+        ended_at_ms: Some(950),
     };
-    let details = Details {
+    let details = MaintenanceDetails {
         jobs: vec![(JobId(2), job)],
-        ways: Stage::ALL.into_iter().map(|stage| (machine(1), way(stage))).collect(),
-        waits: waits().into_iter().map(|wait| (machine(2), wait)).collect(),
+        progress: Stage::ALL.into_iter().map(|stage| (machine(1), way(stage))).collect(),
+        wait_reasons: waits().into_iter().map(|wait| (machine(2), wait)).collect(),
         missing: vec![machine(3)],
-        took: Some(60_000),
-        at: 1_700_000_000_123,
+        median_duration_ms: Some(60_000),
+        now_ms: 1_700_000_000_123,
     };
-    let placed = Stage::ALL.into_iter().map(|stage| Placed {
+    let placed = Stage::ALL.into_iter().map(|stage| PlacedMachine {
         machine: machine(1),
-        at: Some("127.0.0.1:9000".parse().unwrap()),
+        address: Some("127.0.0.1:9000".parse().unwrap()),
         stage,
     });
-    View { number: Epoch(6), version: 3, placed: Some(placed.collect()), details: Some(Box::new(details)) }
+    MaintenanceView {
+        epoch: Epoch(6),
+        machines_version: 3,
+        placed: Some(placed.collect()),
+        details: Some(Box::new(details)),
+    }
 }
 
 fn site_words() -> Vec<(SiteId, SiteWord)> {
@@ -273,62 +286,69 @@
     ]
 }
 
-fn bounds() -> Bounds {
-    Bounds {
-        of_location: 1,
-        of_hub: 2,
-        of_kind: 3,
-        pairs: vec![(machine(1), machine(2))],
-        margin: 15,
-        further: true,
-        back: BackBy::Both,
-        closed: vec![(480, 540)],
+fn bounds() -> DisruptionBudget {
+    DisruptionBudget {
+        per_location: 1,
+        per_hub: 2,
+        per_kind: 3,
+        exclusive_pairs: vec![(machine(1), machine(2))],
+        capacity_margin_percent: 15,
+        tolerates_further_loss: true,
+        return_policy: ReturnPolicy::Both,
+        blackout_minutes: vec![(480, 540)],
     }
 }
 
-fn specs() -> Vec<Spec> {
-    let spec = |n: u64, front| Spec {
+fn specs() -> Vec<MachineSpec> {
+    let spec = |n: u64, front| MachineSpec {
         name: format!("m{n}"),
         location: 1,
         hub: 0,
         kind: 2,
         weight: 1000,
-        at: Some(format!("127.0.0.1:{}", 9000 + n).parse().unwrap()),
+        address: Some(format!("127.0.0.1:{}", 9000 + n).parse().unwrap()),
         front,
     };
-    vec![spec(1, None), spec(2, None), spec(3, Some((FrontId(1), true)))]
+    vec![spec(1, None), spec(2, None), spec(3, Some(HostedFront { id: FrontId(1), is_voter: true }))]
 }
 
-fn work_commands() -> Vec<elmtide_work::Command> {
-    use elmtide_work::Command;
+fn work_commands() -> Vec<elmtide_maintenance::MaintenanceCommand> {
+    use elmtide_maintenance::MaintenanceCommand;
     let job = JobId(1);
-    let step = |number, step| Command::Step { machine: machine(1), number: Epoch(number), step, at: 2000 };
+    let step = |number, step| MaintenanceCommand::Advance {
+        machine: machine(1),
+        epoch: Epoch(number),
+        step,
+        at_ms: 2000,
+    };
     vec![
-        Command::Layout { version: 1, machines: specs(), bounds: bounds() },
-        Command::Out {
+        MaintenanceCommand::UpdateMachines { version: 1, machines: specs(), budget: bounds() },
+        MaintenanceCommand::Request {
             machines: vec![machine(1), machine(2)],
-            by: "ops".into(),
+            requested_by: "ops".into(),
             reason: "disks".into(),
-            minutes: 30,
-            at: 1000,
+            expected_minutes: 30,
+            at_ms: 1000,
+        },
+        MaintenanceCommand::PauseJob { job },
+        MaintenanceCommand::ResumeJob { job },
+        MaintenanceCommand::Prioritize { job, machines: vec![machine(2)] },
+        step(0, Step::Schedule),
+        MaintenanceCommand::Acknowledge {
+            acknowledgements: vec![(holder(1), Epoch(1)), (holder(2), Epoch(1))],
         },
-        Command::Hold { job },
-        Command::GoOn { job },
-        Command::Reorder { job, first: vec![machine(2)] },
-        step(0, Step::Next),
-        Command::Seen { fronts: vec![(holder(1), Epoch(1)), (holder(2), Epoch(1))] },
-        Command::Off { front: FrontId(2) },
-        step(1, Step::Leave),
-        step(2, Step::Empty),
-        step(3, Step::Release { born: 400 }),
-        step(4, Step::Overdue),
-        step(4, Step::Listed),
-        Command::Word { machine: machine(1) },
+        MaintenanceCommand::DeclareFrontOff { front: FrontId(2) },
+        step(1, Step::Drain),
+        step(2, Step::MarkDrained),
+        step(3, Step::Release { started_at_ms: 400 }),
+        step(4, Step::MarkOverdue),
+        step(4, Step::MarkListed),
+        MaintenanceCommand::ConfirmReturn { machine: machine(1) },
         step(4, Step::Return),
-        step(5, Step::Warm),
-        step(6, Step::In),
-        step(9, Step::CallBack),
-        Command::CallOff { job, machine: Some(machine(2)) },
+        step(5, Step::BeginSlowStart),
+        step(6, Step::Complete),
+        step(9, Step::Revert),
+        MaintenanceCommand::Cancel { job, machine: Some(machine(2)) },
     ]
 }
 
@@ -400,24 +420,24 @@
         file.value(&format!("budgets_{place}"), &CommandOutcome::BudgetsRejected(refused));
     }
     file.value("no_seat", &CommandOutcome::TooManyVoters);
-    use elmtide_work::Refused as Work;
+    use elmtide_maintenance::CommandRejected as Work;
     let refused = [
-        Work::OldLayout,
-        Work::TooMany,
-        Work::Unknown(machine(1)),
-        Work::InJob(machine(1), JobId(2)),
-        Work::NoJob,
-        Work::Changed,
-        Work::NotThere,
+        Work::StaleVersion,
+        Work::LimitExceeded,
+        Work::UnknownMachine(machine(1)),
+        Work::AlreadyInJob(machine(1), JobId(2)),
+        Work::UnknownJob,
+        Work::StaleEpoch,
+        Work::NotInJob,
         Work::NotReleased(machine(1)),
-        Work::Released(machine(1)),
-        Work::Held,
-        Work::Bound(Bound::Voters),
-        Work::NotSeen(FrontId(2)),
-        Work::Untracked,
-        Work::LastOf(machine(1)),
-        Work::TooLong,
-        Work::IsOff(FrontId(2)),
+        Work::AlreadyReleased(machine(1)),
+        Work::JobPaused,
+        Work::DisruptionLimit(DisruptionLimit::Voters),
+        Work::NotAcknowledged(FrontId(2)),
+        Work::TooManyFronts,
+        Work::LastOfItsKind(machine(1)),
+        Work::TextTooLong,
+        Work::FrontNotPresent(FrontId(2)),
     ];
     file.value("work_done", &CommandOutcome::Maintenance(Ok(JobId(2))));
     for (place, refused) in refused.into_iter().enumerate() {
--- a/core/work/tests/permit_model.rs
+++ b/core/maintenance/tests/permit_model.rs
@@ -4,10 +4,13 @@
 use std::hash::{Hash, Hasher};
 
 use elmtide_budgets::{Clocks, Epoch, FrontId, HolderId, Incarnation, LeaseSettings};
-use elmtide_work::conductor::Now;
-use elmtide_work::state::Step;
-use elmtide_work::view::{Looks, Sight, Told};
-use elmtide_work::{Bounds, Command, Conductor, JobId, MachineId, Said, Spec, Stage, State, View, Viewer};
+use elmtide_maintenance::report::{LeasedMaintenanceView, MachineObservation, ObservedState};
+use elmtide_maintenance::CoordinatorInput;
+use elmtide_maintenance::Step;
+use elmtide_maintenance::{
+    DisruptionBudget, JobId, MachineId, MachineSpec, MaintenanceCommand, MaintenanceCoordinator,
+    MaintenanceExclusions, MaintenanceReport, MaintenanceState, MaintenanceView, Stage,
+};
 use stateright::{Checker, Model, Property};
 
 /// A step of time, a lease, how long a request is open, and the end of time.
@@ -40,7 +43,7 @@
 #[derive(Clone, Debug, PartialEq)]
 struct Front {
     incarnation: u64,
-    viewer: Viewer,
+    viewer: MaintenanceExclusions,
     open_until: u64,
 }
 
@@ -49,16 +52,16 @@
 struct Answer {
     incarnation: u64,
     asked: u64,
-    view: View,
+    view: MaintenanceView,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 struct World {
     now: u64,
-    agreed: State,
+    agreed: MaintenanceState,
     /// Proposed and not applied yet, with the numbers that they were made for.
-    proposed: Vec<Command>,
-    conductor: Conductor,
+    proposed: Vec<MaintenanceCommand>,
+    conductor: MaintenanceCoordinator,
     began: u64,
     answered: [u64; 2],
     fronts: [Front; 2],
@@ -101,7 +104,7 @@
 struct Permits(Variant);
 
 fn machine() -> MachineId {
-    MachineId::of("a")
+    MachineId::from_name("a")
 }
 
 fn clocks(now: u64) -> Clocks {
@@ -112,12 +115,18 @@
     HolderId { front: FrontId(front as u64 + 1), incarnation: Incarnation(incarnation) }
 }
 
-fn viewer() -> Viewer {
-    Viewer::new(TERMS, [(machine(), None)])
+fn viewer() -> MaintenanceExclusions {
+    MaintenanceExclusions::new(TERMS, [(machine(), None)])
 }
 
-fn out() -> Command {
-    Command::Out { machines: vec![machine()], by: String::new(), reason: String::new(), minutes: 0, at: 0 }
+fn out() -> MaintenanceCommand {
+    MaintenanceCommand::Request {
+        machines: vec![machine()],
+        requested_by: String::new(),
+        reason: String::new(),
+        expected_minutes: 0,
+        at_ms: 0,
+    }
 }
 
 impl Permits {
@@ -125,9 +134,9 @@
         match self.0 {
             Variant::NoLease => match front.viewer.stage(machine()) {
                 None => !front.viewer.has_view(),
-                Some(stage) => stage.kept_off(false),
+                Some(stage) => stage.is_excluded(),
             },
-            _ => front.viewer.keeps_off(machine(), clocks(now)),
+            _ => front.viewer.is_excluded(machine(), clocks(now)),
         }
     }
 
@@ -135,17 +144,17 @@
         let now = clocks(world.now);
         let front = &world.fronts[place];
         let open = front.open_until > world.now;
-        let clear: Vec<MachineId> = front.viewer.leaving().filter(|_| !open).collect();
-        let sight = Sight { looks: Looks::Ready, ..Sight::default() };
-        let said = Said {
-            seen: front.viewer.has_view().then(|| front.viewer.number()),
-            clear: clear.clone(),
-            sights: vec![(machine(), sight)],
-            ..Said::default()
+        let clear: Vec<MachineId> = front.viewer.excluded_by_view().filter(|_| !open).collect();
+        let sight = MachineObservation { state: ObservedState::Ready, ..MachineObservation::default() };
+        let said = MaintenanceReport {
+            acknowledged: front.viewer.has_view().then(|| front.viewer.epoch()),
+            drained: clear.clone(),
+            observations: vec![(machine(), sight)],
+            ..MaintenanceReport::default()
         };
         let (incarnation, asked) = (front.incarnation, world.now);
         world.word |= !clear.is_empty();
-        world.conductor.on_said(&world.agreed, holder(place, incarnation), said, now.monotonic);
+        world.conductor.on_report(&world.agreed, holder(place, incarnation), said, now.monotonic);
         let view = world.conductor.view(&world.agreed, holder(place, incarnation), 0)?;
         world.answered[place] = world.now;
         Some(Answer { incarnation, asked, view })
@@ -156,18 +165,26 @@
         let front = &mut world.fronts[place];
         if front.incarnation == answer.incarnation {
             let ends = clocks(answer.asked + LEASE).monotonic;
-            front.viewer.take(&Told { view: answer.view, asked: clocks(answer.asked), ends }, now);
+            front.viewer.apply(
+                &LeasedMaintenanceView {
+                    view: answer.view,
+                    requested_at: clocks(answer.asked),
+                    expires_at: ends,
+                },
+                now,
+            );
         }
     }
 
-    fn apply(&self, world: &mut World, mut command: Command) {
-        if let (Variant::NoNumber, Command::Step { number, .. }) = (self.0, &mut command) {
-            *number = world.agreed.ways().get(&machine()).map_or(Epoch(0), |w| w.number);
+    fn apply(&self, world: &mut World, mut command: MaintenanceCommand) {
+        if let (Variant::NoNumber, MaintenanceCommand::Advance { epoch: number, .. }) = (self.0, &mut command)
+        {
+            *number = world.agreed.progress().get(&machine()).map_or(Epoch(0), |w| w.epoch);
         }
         let _ = world.agreed.apply(&command);
     }
 
-    fn propose(&self, world: &mut World) -> Vec<Command> {
+    fn propose(&self, world: &mut World) -> Vec<MaintenanceCommand> {
         let answered = world.answered;
         let (began, incarnations) = (world.began, world.fronts.each_ref().map(|f| f.incarnation));
         let over_at = |holder: HolderId| {
@@ -176,18 +193,25 @@
             clocks(heard.max(began) + LEASE + OPEN).monotonic
         };
         let steady = clocks(world.now).monotonic;
-        let now = Now { steady, wall: 0, lease: LEASE * UNIT, me: FrontId(9), over_at: &over_at };
+        let now = CoordinatorInput {
+            monotonic: steady,
+            wall_ms: 0,
+            lease: LEASE * UNIT,
+            own: FrontId(9),
+            drained_at: &over_at,
+        };
         let proposal = world.conductor.propose(&world.agreed, &now);
         let mut proposed = proposal.commands;
-        let way = world.agreed.ways().get(&machine()).map(|w| (w.stage, w.number));
-        let step = |number, step| Command::Step { machine: machine(), number, step, at: 0 };
+        let way = world.agreed.progress().get(&machine()).map(|w| (w.stage, w.epoch));
+        let step =
+            |number, step| MaintenanceCommand::Advance { machine: machine(), epoch: number, step, at_ms: 0 };
         match (self.0, way) {
-            (Variant::SomeWord, Some((Stage::Leaving, number))) if world.word => {
-                proposed.push(step(number, Step::Empty));
+            (Variant::SomeWord, Some((Stage::Draining, number))) if world.word => {
+                proposed.push(step(number, Step::MarkDrained));
             }
-            (Variant::NoNext, Some((Stage::Next, number))) => {
+            (Variant::NoNext, Some((Stage::Scheduled, number))) => {
                 let seen: Vec<_> = (0..2).map(|f| (holder(f, world.fronts[f].incarnation), number)).collect();
-                proposed.push(Command::Seen { fronts: seen });
+                proposed.push(MaintenanceCommand::Acknowledge { acknowledgements: seen });
             }
             _ => {}
         }
@@ -200,27 +224,42 @@
     type Action = Action;
 
     fn init_states(&self) -> Vec<World> {
-        let spec = |name: &str| Spec {
+        let spec = |name: &str| MachineSpec {
             name: name.into(),
             location: 1,
             hub: 0,
             kind: 1,
             weight: 1000,
-            at: None,
+            address: None,
             front: None,
         };
-        let mut agreed = State::default();
-        let bounds = Bounds { further: false, of_location: 1, ..Bounds::default() };
-        agreed.apply(&Command::Layout { version: 1, machines: vec![spec("a"), spec("b")], bounds }).unwrap();
+        let mut agreed = MaintenanceState::default();
+        let bounds = DisruptionBudget {
+            tolerates_further_loss: false,
+            per_location: 1,
+            ..DisruptionBudget::default()
+        };
+        agreed
+            .apply(&MaintenanceCommand::UpdateMachines {
+                version: 1,
+                machines: vec![spec("a"), spec("b")],
+                budget: bounds,
+            })
+            .unwrap();
         let mut fronts = [0, 1].map(|_| Front { incarnation: 1, viewer: viewer(), open_until: 0 });
-        let first = View { number: Epoch(0), version: 1, placed: Some(vec![]), details: None };
-        let mut conductor = Conductor::new();
+        let first =
+            MaintenanceView { epoch: Epoch(0), machines_version: 1, placed: Some(vec![]), details: None };
+        let mut conductor = MaintenanceCoordinator::new();
         for (place, front) in fronts.iter_mut().enumerate() {
-            agreed.joined(holder(place, 1));
-            let told = Told { view: first.clone(), asked: clocks(0), ends: clocks(LEASE).monotonic };
-            front.viewer.take(&told, clocks(0));
-            let said = Said { seen: Some(Epoch(0)), ..Said::default() };
-            conductor.on_said(&agreed, holder(place, 1), said, clocks(0).monotonic);
+            agreed.on_join(holder(place, 1));
+            let told = LeasedMaintenanceView {
+                view: first.clone(),
+                requested_at: clocks(0),
+                expires_at: clocks(LEASE).monotonic,
+            };
+            front.viewer.apply(&told, clocks(0));
+            let said = MaintenanceReport { acknowledged: Some(Epoch(0)), ..MaintenanceReport::default() };
+            conductor.on_report(&agreed, holder(place, 1), said, clocks(0).monotonic);
         }
         agreed.apply(&out()).unwrap();
         vec![World {
@@ -324,19 +363,19 @@
             Action::NewLeader => {
                 // What was proposed may still be applied.
                 world.troubles[0] += 1;
-                world.conductor = Conductor::new();
+                world.conductor = MaintenanceCoordinator::new();
                 world.began = world.now;
             }
             Action::Restart(place) => {
                 world.troubles[1] += 1;
                 let incarnation = world.fronts[place].incarnation + 1;
                 world.fronts[place] = Front { incarnation, viewer: viewer(), open_until: 0 };
-                world.agreed.joined(holder(place, incarnation));
+                world.agreed.on_join(holder(place, incarnation));
             }
             Action::Recall => {
                 world.troubles[2] += 1;
-                let job = world.agreed.ways().get(&machine()).map_or(JobId(0), |w| w.job);
-                world.agreed.apply(&Command::CallOff { job, machine: None }).ok()?;
+                let job = world.agreed.progress().get(&machine()).map_or(JobId(0), |w| w.job);
+                world.agreed.apply(&MaintenanceCommand::Cancel { job, machine: None }).ok()?;
                 world.agreed.apply(&out()).ok()?;
             }
         }
@@ -345,14 +384,14 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         fn alone(model: &Permits, world: &World) -> bool {
-            let out = world.agreed.ways().get(&machine()).is_some_and(|w| w.stage == Stage::Released);
+            let out = world.agreed.progress().get(&machine()).is_some_and(|w| w.stage == Stage::Released);
             let used = |f: &Front| f.open_until > world.now || !model.keeps_off(f, world.now);
             !out || !world.fronts.iter().any(used)
         }
         vec![
             Property::<Self>::always("what is let go is left alone", alone),
             Property::<Self>::sometimes("a machine is let go", |_, world| {
-                world.agreed.ways().get(&machine()).is_some_and(|w| w.stage == Stage::Released)
+                world.agreed.progress().get(&machine()).is_some_and(|w| w.stage == Stage::Released)
             }),
         ]
     }
--- a/front/src/engine/budget_client.rs
+++ b/front/src/engine/budget_client.rs
@@ -232,7 +232,7 @@
     }
 
     /// Reports what is needed and in use; a thread that is behind hears it the next time.
-    pub fn report(&mut self, maintenance: Option<elmtide_work::Said>, caches_warm: bool) {
+    pub fn report(&mut self, maintenance: Option<elmtide_maintenance::MaintenanceReport>, caches_warm: bool) {
         let now = self.now;
         let own_site = OwnSiteState { caches_warm, overloaded: self.is_short() };
         let report = EngineReport {
--- a/front/src/engine/mod.rs
+++ b/front/src/engine/mod.rs
@@ -429,7 +429,7 @@
                 |member| exchanges.is_open_at(member),
                 busy,
             );
-            said.strained = budgets.is_short();
+            said.is_overloaded = budgets.is_short();
             said
         });
         let (set, now) = (&self.settings, self.now);
--- a/front/src/engine/working.rs
+++ b/front/src/engine/working.rs
@@ -5,8 +5,10 @@
 
 use elmtide::{Availability, Listing, MemberId, Ms, Settings};
 use elmtide_budgets::Clocks;
-use elmtide_work::view::{Looks, Sight, Told, Work, SIGHTS};
-use elmtide_work::{MachineId, Said, Stage, Viewer};
+use elmtide_maintenance::report::{
+    LeasedMaintenanceView, MachineObservation, ObservedState, WorkOutcome, MAX_OBSERVATIONS,
+};
+use elmtide_maintenance::{MachineId, MaintenanceExclusions, MaintenanceReport, Stage};
 
 use crate::exchange::MembersNews;
 use crate::process::clock;
@@ -22,7 +24,7 @@
 pub struct Working {
     /// The clocks of this input of the engine.
     now: Clocks,
-    viewer: Viewer,
+    viewer: MaintenanceExclusions,
     /// The machine that this front runs on, if it is one of the file's.
     own: Option<MachineId>,
     members: BTreeMap<MemberId, MachineId>,
@@ -38,7 +40,7 @@
 }
 
 impl Working {
-    pub fn new(viewer: Viewer, own: Option<MachineId>) -> Working {
+    pub fn new(viewer: MaintenanceExclusions, own: Option<MachineId>) -> Working {
         Working {
             now: clock::both(),
             viewer,
@@ -59,14 +61,14 @@
     }
 
     /// What the fleet's thread was told.
-    pub fn take(&mut self, told: &Told) {
-        self.viewer.take(told, self.now);
+    pub fn take(&mut self, told: &LeasedMaintenanceView) {
+        self.viewer.apply(told, self.now);
     }
 
     /// Which machine each member of a list is.
     pub fn learn(&mut self, news: &MembersNews) {
         for member in news.members.iter().filter(|m| !m.gone) {
-            let machine = self.viewer.machine(&member.name, member.addr);
+            let machine = self.viewer.machine_at(&member.name, member.addr);
             self.members.insert(member.member, machine);
         }
         while self.members.len() > MOST {
@@ -76,15 +78,15 @@
 
     /// Whether what is kept off may be out of date: the lease on the view has begun or ended since.
     pub fn turned(&self) -> bool {
-        self.leased != self.viewer.is_leased(self.now)
+        self.leased != self.viewer.has_valid_lease(self.now)
     }
 
     /// Looks again at what is kept off by now; the members of which that has changed.
     pub fn refresh(&mut self) -> Vec<MemberId> {
         let now = self.now;
-        self.leased = self.viewer.is_leased(now);
+        self.leased = self.viewer.has_valid_lease(now);
         let off: BTreeSet<MemberId> = (self.members.iter())
-            .filter(|(_, machine)| self.viewer.keeps_off(**machine, now))
+            .filter(|(_, machine)| self.viewer.is_excluded(**machine, now))
             .map(|(member, _)| *member)
             .collect();
         let changed = off.symmetric_difference(&self.off).copied().collect();
@@ -113,7 +115,7 @@
     /// Whether this front's own machine is to go: clients are sent away.
     pub fn goes(&self) -> bool {
         let stage = self.own.and_then(|own| self.viewer.stage(own));
-        stage.is_some_and(|s| s.kept_off(false))
+        stage.is_some_and(|s| s.is_excluded())
     }
 
     /// Work was sent to these.
@@ -144,14 +146,14 @@
         failing: impl Fn(MemberId) -> bool,
         open: impl Fn(MemberId) -> bool,
         busy: bool,
-    ) -> Said {
+    ) -> MaintenanceReport {
         self.fade();
         let viewer = &self.viewer;
         let there = |m: MachineId| viewer.knows(m) && !viewer.stage(m).is_some_and(is_let_go);
         // What was sent and done before it was let go says nothing of the one that comes back.
         self.tried.retain(|machine, _| there(*machine));
         self.load.retain(|machine, _| there(*machine));
-        let mut sights: BTreeMap<MachineId, Sight> = BTreeMap::new();
+        let mut sights: BTreeMap<MachineId, MachineObservation> = BTreeMap::new();
         for listing in listed {
             let Some(machine) = self.members.get(&listing.member).copied() else { continue };
             let parent = Some(listing.kind) == set.parent_kind;
@@ -160,55 +162,57 @@
                 continue;
             }
             let looks = match listing.availability {
-                Availability::Gone => Looks::Absent,
-                Availability::Draining => Looks::Draining,
-                Availability::Ready if failing(listing.member) => Looks::Failing,
-                Availability::Ready => Looks::Ready,
+                Availability::Gone => ObservedState::Absent,
+                Availability::Draining => ObservedState::Draining,
+                Availability::Ready if failing(listing.member) => ObservedState::Failing,
+                Availability::Ready => ObservedState::Ready,
             };
             let span = if parent { set.parent_cold_span } else { set.cold_span };
             let age = listing.born.zip(span.filter(|s| *s > 0.0)).map(|(born, span)| (now - born) / span);
-            let sight = Sight {
-                looks,
-                born: listing.born.map_or(0, |ms| ms.max(0.0) as u64),
-                warm: (age.unwrap_or(1.0).clamp(0.0, 1.0) * 100.0) as u8,
+            let sight = MachineObservation {
+                state: looks,
+                started_at_ms: listing.born.map_or(0, |ms| ms.max(0.0) as u64),
+                warm_percent: (age.unwrap_or(1.0).clamp(0.0, 1.0) * 100.0) as u8,
                 load: (self.load.get(&machine).copied().unwrap_or(0.0) / (FADE / 1e6)) as u32,
                 work: match self.tried.get(&machine) {
-                    None => Work::NoneSent,
-                    Some(false) if !parent => Work::NoneDone,
-                    Some(_) => Work::Done,
+                    None => WorkOutcome::NoneSent,
+                    Some(false) if !parent => WorkOutcome::NoneSucceeded,
+                    Some(_) => WorkOutcome::Succeeded,
                 },
             };
             self.mine.insert(machine);
             // A machine that is listed under several names is as good as the best of them.
-            let better = |before: &Sight| looks == Looks::Ready || before.looks == Looks::Absent;
+            let better = |before: &MachineObservation| {
+                looks == ObservedState::Ready || before.state == ObservedState::Absent
+            };
             if sights.get(&machine).is_none_or(better) {
                 sights.insert(machine, sight);
             }
         }
-        let absent = Sight { looks: Looks::Absent, ..Sight::default() };
+        let absent = MachineObservation { state: ObservedState::Absent, ..MachineObservation::default() };
         for machine in &self.mine {
             sights.entry(*machine).or_insert(absent);
         }
-        while self.mine.len() > SIGHTS {
+        while self.mine.len() > MAX_OBSERVATIONS {
             self.mine.pop_first();
         }
         let at =
             |machine: MachineId| self.members.iter().filter(move |(_, m)| **m == machine).map(|(id, _)| *id);
-        let clear = self.viewer.leaving().filter(|machine| match Some(*machine) == self.own {
+        let clear = self.viewer.excluded_by_view().filter(|machine| match Some(*machine) == self.own {
             true => !busy,
             false => !at(*machine).any(&open),
         });
-        Said {
-            seen: self.viewer.has_view().then(|| self.viewer.number()),
-            clear: clear.collect(),
-            sights: sights.into_iter().take(SIGHTS).collect(),
-            strained: false,
-            looks: false,
+        MaintenanceReport {
+            acknowledged: self.viewer.has_view().then(|| self.viewer.epoch()),
+            drained: clear.collect(),
+            observations: sights.into_iter().take(MAX_OBSERVATIONS).collect(),
+            is_overloaded: false,
+            needs_details: false,
         }
     }
 }
 
 /// Nobody sends to it, and what it was before is over.
 fn is_let_go(stage: Stage) -> bool {
-    matches!(stage, Stage::Released | Stage::Back)
+    matches!(stage, Stage::Released | Stage::Returned)
 }
--- a/front/src/fleet/config.rs
+++ b/front/src/fleet/config.rs
@@ -13,8 +13,8 @@
 use elmtide_budgets::{BudgetId, BudgetKind, FrontId, LeaseSettings, Micros, SpendingModel, TOTAL};
 use elmtide_cells::ShopId;
 use elmtide_fleet::{FleetSettings, FrontSettings, MaintenanceSettings};
+use elmtide_maintenance::{DisruptionBudget, HostedFront, MachineId, MachineSpec, ReturnPolicy};
 use elmtide_sites::{Rules, SiteId};
-use elmtide_work::{BackBy, Bounds, MachineId, Spec};
 use serde::Deserialize;
 
 /// Where the file is, if nothing else is said.
@@ -215,6 +215,12 @@
     pub shop: Option<String>,
 }
 
+impl FrontEntry {
+    fn hosted(&self) -> HostedFront {
+        HostedFront { id: FrontId::from_name(&self.name), is_voter: self.votes }
+    }
+}
+
 impl BudgetEntry {
     pub fn kind(&self) -> Result<BudgetKind, String> {
         BudgetKind::from_name(&self.kind).ok_or_else(|| {
@@ -317,8 +323,8 @@
                 false => Err("[[machine]] without [work]: say by which bounds they go out".into()),
             };
         };
-        if self.machine.len() > elmtide_work::state::MACHINES {
-            return Err(format!("over {} machines", elmtide_work::state::MACHINES));
+        if self.machine.len() > elmtide_maintenance::state::MAX_MACHINES {
+            return Err(format!("over {} machines", elmtide_maintenance::state::MAX_MACHINES));
         }
         let names: BTreeSet<&str> = self.machine.iter().map(|m| &m.name[..]).collect();
         if names.len() != self.machine.len() {
@@ -366,29 +372,29 @@
         let place = |names: &[String], name: &str| {
             names.binary_search_by(|n| n[..].cmp(name)).map_or(0, |place| place as u16 + 1)
         };
-        let spec = |m: &MachineEntry| Spec {
+        let spec = |m: &MachineEntry| MachineSpec {
             name: m.name.clone(),
             location: place(&locations, &m.location),
             hub: place(&hubs, &m.hub),
             kind: place(&kinds, &m.kind),
             weight: (m.weight * 1000.0) as u32,
-            at: m.address,
-            front: m.front.as_ref().and_then(|f| self.own(f)).map(|f| (FrontId::from_name(&f.name), f.votes)),
+            address: m.address,
+            front: m.front.as_ref().and_then(|f| self.own(f)).map(FrontEntry::hosted),
         };
-        let pair = |(a, b): &(String, String)| (MachineId::of(a), MachineId::of(b));
-        let bounds = Bounds {
-            of_location: work.per_location,
-            of_hub: work.per_hub,
-            of_kind: work.per_kind,
-            pairs: work.pairs.iter().map(pair).collect(),
-            margin: work.margin_percent,
-            further: work.further_loss,
-            back: match work.back {
-                BackEntry::Bus => BackBy::Bus,
-                BackEntry::Word => BackBy::Word,
-                BackEntry::Both => BackBy::Both,
+        let pair = |(a, b): &(String, String)| (MachineId::from_name(a), MachineId::from_name(b));
+        let bounds = DisruptionBudget {
+            per_location: work.per_location,
+            per_hub: work.per_hub,
+            per_kind: work.per_kind,
+            exclusive_pairs: work.pairs.iter().map(pair).collect(),
+            capacity_margin_percent: work.margin_percent,
+            tolerates_further_loss: work.further_loss,
+            return_policy: match work.back {
+                BackEntry::Bus => ReturnPolicy::EndpointListed,
+                BackEntry::Word => ReturnPolicy::OperatorConfirmed,
+                BackEntry::Both => ReturnPolicy::Both,
             },
-            closed: work.closed.iter().filter_map(|text| hours(text)).collect(),
+            blackout_minutes: work.closed.iter().filter_map(|text| hours(text)).collect(),
         };
         Some(MaintenanceSettings { machines: self.machine.iter().map(spec).collect(), bounds })
     }
--- a/front/src/fleet/runner.rs
+++ b/front/src/fleet/runner.rs
@@ -15,10 +15,10 @@
 use elmtide_fleet::{
     AgreedCommand, FleetNode, FleetSettings, NodeConfig, Output, RecoveredState, SyncResult,
 };
+use elmtide_maintenance::report::MaintenanceDetails;
+use elmtide_maintenance::{MachineId, MaintenanceExclusions, MaintenanceReport};
 use elmtide_sites::{Rules, SiteId, Standing, Watcher};
 use elmtide_store::Store;
-use elmtide_work::view::Details;
-use elmtide_work::{MachineId, Said, Viewer};
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 
 use crate::engine::budget_client::BudgetClient;
@@ -183,10 +183,10 @@
     /// Until when details are asked for, and who waits for them.
     looks: Option<Instant>,
     lookers: Vec<Sender<String>>,
-    details: Option<(Instant, Details)>,
+    details: Option<(Instant, MaintenanceDetails)>,
     replies: BTreeMap<u64, Sender<String>>,
     next_tag: u64,
-    said: Said,
+    said: MaintenanceReport,
 }
 
 struct Begin {
@@ -251,11 +251,11 @@
     tracing::info!(%at, "fleet: listens");
     let settings_on = settings.maintenance.is_some();
     let machines = settings.maintenance.iter().flat_map(|maintenance| &maintenance.machines);
-    let machines: Vec<_> = machines.map(|s| (MachineId::of(&s.name), s.at)).collect();
+    let machines: Vec<_> = machines.map(|s| (MachineId::from_name(&s.name), s.address)).collect();
     let own_machine = config.machine.iter().find(|m| m.front.as_deref() == Some(name));
     let working = settings_on.then(|| {
-        let viewer = Viewer::new(terms, machines.clone());
-        Box::new(Working::new(viewer, own_machine.map(|m| MachineId::of(&m.name))))
+        let viewer = MaintenanceExclusions::new(terms, machines.clone());
+        Box::new(Working::new(viewer, own_machine.map(|m| MachineId::from_name(&m.name))))
     });
     let watch = match (&config.sites, &settings.sites) {
         (Some(table), Some(rules)) => {
@@ -339,7 +339,7 @@
             details: None,
             replies: BTreeMap::new(),
             next_tag: 1,
-            said: Said::default(),
+            said: MaintenanceReport::default(),
         },
     };
     let run = move || {
@@ -421,7 +421,10 @@
         }
         if self.work.on {
             let looks = self.work.looks.is_some_and(|until| Instant::now() < until);
-            self.member.report_maintenance(Said { looks, ..self.work.said.clone() }, clock::both());
+            self.member.report_maintenance(
+                MaintenanceReport { needs_details: looks, ..self.work.said.clone() },
+                clock::both(),
+            );
         }
         if let Some(watch) = &mut self.watch {
             let now = clock::both();
--- a/front/src/fleet/work.rs
+++ b/front/src/fleet/work.rs
@@ -6,10 +6,11 @@
 
 use elmtide_budgets::FrontId;
 use elmtide_fleet::{AgreedCommand, CommandOutcome};
-use elmtide_work::plan::{self, Facts, Wait};
-use elmtide_work::state::Bound;
-use elmtide_work::view::Details;
-use elmtide_work::{Command, JobId, MachineId, Refused, State};
+use elmtide_maintenance::planning::{self, DryRun, Observations};
+use elmtide_maintenance::report::MaintenanceDetails;
+use elmtide_maintenance::DisruptionLimit;
+use elmtide_maintenance::WaitReason;
+use elmtide_maintenance::{CommandRejected, JobId, MachineId, MaintenanceCommand, MaintenanceState};
 use serde::{Deserialize, Serialize};
 
 use crate::fleet::config::FleetConfig;
@@ -71,27 +72,38 @@
         }
     }
 
-    fn command(self) -> Command {
-        let ids = |names: Vec<String>| names.iter().map(|n| MachineId::of(n)).collect();
+    fn command(self) -> MaintenanceCommand {
+        let ids = |names: Vec<String>| names.iter().map(|n| MachineId::from_name(n)).collect();
         match self {
-            Request::Out { machines, by, reason, minutes } => {
-                Command::Out { machines: ids(machines), by, reason, minutes, at: 0 }
+            Request::Out { machines, by, reason, minutes } => MaintenanceCommand::Request {
+                machines: ids(machines),
+                requested_by: by,
+                reason,
+                expected_minutes: minutes,
+                at_ms: 0,
+            },
+            Request::Back { machine } => {
+                MaintenanceCommand::ConfirmReturn { machine: MachineId::from_name(&machine) }
+            }
+            Request::Hold { job } => MaintenanceCommand::PauseJob { job: JobId(job) },
+            Request::GoOn { job } => MaintenanceCommand::ResumeJob { job: JobId(job) },
+            Request::CallOff { job, machine } => MaintenanceCommand::Cancel {
+                job: JobId(job),
+                machine: machine.map(|m| MachineId::from_name(&m)),
+            },
+            Request::Reorder { job, machines } => {
+                MaintenanceCommand::Prioritize { job: JobId(job), machines: ids(machines) }
             }
-            Request::Back { machine } => Command::Word { machine: MachineId::of(&machine) },
-            Request::Hold { job } => Command::Hold { job: JobId(job) },
-            Request::GoOn { job } => Command::GoOn { job: JobId(job) },
-            Request::CallOff { job, machine } => {
-                Command::CallOff { job: JobId(job), machine: machine.map(|m| MachineId::of(&m)) }
+            Request::Off { front } => {
+                MaintenanceCommand::DeclareFrontOff { front: FrontId::from_name(&front) }
             }
-            Request::Reorder { job, machines } => Command::Reorder { job: JobId(job), first: ids(machines) },
-            Request::Off { front } => Command::Off { front: FrontId::from_name(&front) },
             // Not of work: an empty list is refused.
-            Request::SiteLost { .. } | Request::SiteClear { .. } => Command::Out {
+            Request::SiteLost { .. } | Request::SiteClear { .. } => MaintenanceCommand::Request {
                 machines: Vec::new(),
-                by: String::new(),
+                requested_by: String::new(),
                 reason: String::new(),
-                minutes: 0,
-                at: 0,
+                expected_minutes: 0,
+                at_ms: 0,
             },
         }
     }
@@ -121,7 +133,11 @@
 impl Names {
     pub fn of(config: &FleetConfig) -> Names {
         Names {
-            machines: config.machine.iter().map(|m| (MachineId::of(&m.name), m.name.clone())).collect(),
+            machines: config
+                .machine
+                .iter()
+                .map(|m| (MachineId::from_name(&m.name), m.name.clone()))
+                .collect(),
             fronts: config.front.iter().map(|f| (FrontId::from_name(&f.name), f.name.clone())).collect(),
         }
     }
@@ -147,69 +163,73 @@
     }
 
     /// Why, and what would make it possible.
-    fn refused(&self, why: Refused) -> String {
+    fn refused(&self, why: CommandRejected) -> String {
         match why {
-            Refused::Unknown(machine) => format!(
+            CommandRejected::UnknownMachine(machine) => format!(
                 "{} is not in the layout in force: add it as [[machine]] to every front's file, with a higher version",
                 self.machine(machine)
             ),
-            Refused::InJob(machine, job) => {
+            CommandRejected::AlreadyInJob(machine, job) => {
                 format!("{} is in job {} already: call it off there, or leave it", self.machine(machine), job.0)
             }
-            Refused::LastOf(machine) => format!(
+            CommandRejected::LastOfItsKind(machine) => format!(
                 "{} is the last of its kind at its location, or votes where no other could lead: \
                  another one has to be there first",
                 self.machine(machine)
             ),
-            Refused::NotReleased(machine) => {
+            CommandRejected::NotReleased(machine) => {
                 format!("{} has not been let go: `elmtide work` says where it is", self.machine(machine))
             }
-            Refused::Released(machine) => {
+            CommandRejected::AlreadyReleased(machine) => {
                 format!("{} has been let go: it can only come back", self.machine(machine))
             }
-            Refused::NoJob => "there is no such job, or it is over".into(),
-            Refused::TooMany => "nothing named, or more jobs or machines than are kept: end some first".into(),
-            Refused::TooLong => "a name or a reason is too long (64 and 200 bytes)".into(),
-            Refused::IsOff(front) => format!("{} is not there", self.front(front)),
-            Refused::NotThere => "it is not in this job".into(),
+            CommandRejected::UnknownJob => "there is no such job, or it is over".into(),
+            CommandRejected::LimitExceeded => "nothing named, or more jobs or machines than are kept: end some first".into(),
+            CommandRejected::TextTooLong => "a name or a reason is too long (64 and 200 bytes)".into(),
+            CommandRejected::FrontNotPresent(front) => format!("{} is not there", self.front(front)),
+            CommandRejected::NotInJob => "it is not in this job".into(),
             other => format!("{other:?}"),
         }
     }
 
-    pub fn wait(&self, wait: &Wait) -> String {
+    pub fn wait(&self, wait: &WaitReason) -> String {
         match wait {
-            Wait::Held => "its job is held".into(),
-            Wait::Bound(Bound::Location) => "others of its location are out".into(),
-            Wait::Bound(Bound::Hub) => "others of its hub are out".into(),
-            Wait::Bound(Bound::Kind) => "others of its kind are out".into(),
-            Wait::Bound(Bound::Voters) => "other voters are out".into(),
-            Wait::Bound(Bound::Pair(other)) => {
+            WaitReason::JobPaused => "its job is held".into(),
+            WaitReason::DisruptionLimit(DisruptionLimit::Location) => "others of its location are out".into(),
+            WaitReason::DisruptionLimit(DisruptionLimit::Hub) => "others of its hub are out".into(),
+            WaitReason::DisruptionLimit(DisruptionLimit::Kind) => "others of its kind are out".into(),
+            WaitReason::DisruptionLimit(DisruptionLimit::Voters) => "other voters are out".into(),
+            WaitReason::DisruptionLimit(DisruptionLimit::Pair(other)) => {
                 format!("{} is out, which it is paired with", self.machine(*other))
             }
-            Wait::Load { bears, wanted } => format!(
+            WaitReason::CapacityShortfall { remaining: bears, required: wanted } => format!(
                 "what would be left bears {:.1}, {:.1} are wanted",
                 f64::from(*bears) / 1000.0,
                 f64::from(*wanted) / 1000.0
             ),
-            Wait::Hours => "nothing new goes out at this hour".into(),
-            Wait::Strained(front) => format!("{} is short of a budget", self.front(*front)),
-            Wait::Lost(machine) => format!("{} is gone or failing", self.machine(*machine)),
-            Wait::Overdue(machine) => format!("{} is overdue at its location", self.machine(*machine)),
-            Wait::NotSeen(front) => format!("{} has not seen it yet", self.front(*front)),
-            Wait::Open(front) => format!("{} has something open there", self.front(*front)),
-            Wait::NotHeard(front) => format!(
+            WaitReason::Blackout => "nothing new goes out at this hour".into(),
+            WaitReason::FrontOverloaded(front) => format!("{} is short of a budget", self.front(*front)),
+            WaitReason::MachineLost(machine) => format!("{} is gone or failing", self.machine(*machine)),
+            WaitReason::PermitOverdue(machine) => {
+                format!("{} is overdue at its location", self.machine(*machine))
+            }
+            WaitReason::NotAcknowledged(front) => format!("{} has not seen it yet", self.front(*front)),
+            WaitReason::OpenRequests(front) => format!("{} has something open there", self.front(*front)),
+            WaitReason::FrontUnreachable(front) => format!(
                 "{} can't be heard and may be sending: if its machine is off, say `elmtide work off {}`",
                 self.front(*front),
                 self.front(*front)
             ),
-            Wait::HandOver => "it leads, and hands over first".into(),
-            Wait::Majority => "the voters that can be heard would be no majority".into(),
-            Wait::Work => "it is worked on".into(),
-            Wait::Warms(part) => format!("it is {part}% warm"),
-            Wait::Fails(front) => format!("it fails at {}", self.front(*front)),
-            Wait::Unproven(front) => format!("it has served nothing well at {} yet", self.front(*front)),
-            Wait::NotReady => "nobody has seen it ready".into(),
-            Wait::Turn => "its turn".into(),
+            WaitReason::LeadershipTransfer => "it leads, and hands over first".into(),
+            WaitReason::VoterMajority => "the voters that can be heard would be no majority".into(),
+            WaitReason::InMaintenance => "it is worked on".into(),
+            WaitReason::SlowStart(part) => format!("it is {part}% warm"),
+            WaitReason::Failing(front) => format!("it fails at {}", self.front(*front)),
+            WaitReason::Unproven(front) => {
+                format!("it has served nothing well at {} yet", self.front(*front))
+            }
+            WaitReason::NotReady => "nobody has seen it ready".into(),
+            WaitReason::ReadyToAdvance => "its turn".into(),
         }
     }
 }
@@ -258,35 +278,35 @@
 
 impl Shown {
     pub fn new(
-        details: &Details,
+        details: &MaintenanceDetails,
         names: &Names,
         contact: bool,
         leader: Option<String>,
         age_ms: f64,
     ) -> Shown {
-        let waits: BTreeMap<MachineId, Wait> = details.waits.iter().copied().collect();
-        let seconds = |since: u64| details.at.saturating_sub(since) as f64 / 1000.0;
-        let machines = details.ways.iter().map(|(machine, way)| ShownMachine {
+        let waits: BTreeMap<MachineId, WaitReason> = details.wait_reasons.iter().copied().collect();
+        let seconds = |since: u64| details.now_ms.saturating_sub(since) as f64 / 1000.0;
+        let machines = details.progress.iter().map(|(machine, way)| ShownMachine {
             machine: names.machine(*machine),
             job: way.job.0,
             stage: way.stage.name().to_owned(),
-            since_s: seconds(way.since),
+            since_s: seconds(way.stage_since_ms),
             permit: way.permit,
-            overdue: way.overdue,
-            called_off: way.called_off,
+            overdue: way.is_overdue,
+            called_off: way.is_cancelled,
             why: waits.get(machine).map_or(String::new(), |wait| names.wait(wait)),
         });
         let jobs = details.jobs.iter().map(|(id, job)| ShownJob {
             job: id.0,
-            by: job.by.clone(),
+            by: job.requested_by.clone(),
             reason: job.reason.clone(),
-            minutes: job.minutes,
-            held: job.held,
-            called_off: job.called_off,
-            machines: job.machines,
-            done: job.done,
+            minutes: job.expected_minutes,
+            held: job.is_paused,
+            called_off: job.is_cancelled,
+            machines: job.machine_count,
+            done: job.completed,
             spared: job.spared,
-            over: job.ended.is_some(),
+            over: job.ended_at_ms.is_some(),
         });
         Shown {
             contact,
@@ -295,7 +315,7 @@
             jobs: jobs.collect(),
             machines: machines.collect(),
             missing: details.missing.iter().map(|m| names.machine(*m)).collect(),
-            took_s: details.took.map(|ms| ms as f64 / 1000.0),
+            took_s: details.median_duration_ms.map(|ms| ms as f64 / 1000.0),
         }
     }
 
@@ -413,19 +433,19 @@
     let elmtide_fleet::MaintenanceSettings { machines: specs, bounds } =
         config.layout().ok_or("the file has no [work]")?;
     let names = Names::of(config);
-    let mut state = State::default();
-    let layout = Command::Layout { version: 1, machines: specs, bounds };
+    let mut state = MaintenanceState::default();
+    let layout = MaintenanceCommand::UpdateMachines { version: 1, machines: specs, budget: bounds };
     state.apply(&layout).map_err(|why| names.refused(why))?;
-    let wanted: Vec<MachineId> = machines.iter().map(|m| MachineId::of(m)).collect();
-    if let Some(unknown) = wanted.iter().find(|m| !state.specs().contains_key(m)) {
-        return Err(names.refused(Refused::Unknown(*unknown)));
+    let wanted: Vec<MachineId> = machines.iter().map(|m| MachineId::from_name(m)).collect();
+    if let Some(unknown) = wanted.iter().find(|m| !state.machines().contains_key(m)) {
+        return Err(names.refused(CommandRejected::UnknownMachine(*unknown)));
     }
     let shown = look::call(path, "work-show").ok().and_then(|text| serde_json::from_str::<Shown>(&text).ok());
     let took = shown.and_then(|s| s.took_s);
     // All voters are taken to be there.
-    let voters = state.specs().values().filter_map(|s| s.front.filter(|(_, votes)| *votes)).map(|(f, _)| f);
-    let facts = Facts { voters: voters.collect(), ..Facts::default() };
-    let (rounds, waits) = plan::rounds(&state, &facts, &wanted);
+    let voters = state.machines().values().filter_map(|s| s.front.filter(|f| f.is_voter)).map(|f| f.id);
+    let facts = Observations { reachable_voters: voters.collect(), ..Observations::default() };
+    let DryRun { rounds, blocked: waits } = planning::plan_rounds(&state, &facts, &wanted);
     for (number, round) in rounds.iter().enumerate() {
         let round: Vec<String> = round.iter().map(|m| names.machine(*m)).collect();
         println!("round {:>2}: {}", number + 1, round.join(" "));
@@ -433,7 +453,7 @@
     for (machine, wait) in &waits {
         println!("never: {}: {}", names.machine(*machine), names.wait(wait));
     }
-    let least = plan::least_rounds(state.bounds(), state.specs(), &wanted);
+    let least = planning::least_rounds(state.budget(), state.machines(), &wanted);
     println!("{} rounds, {least} at the least by the bounds; load is looked at when they go", rounds.len());
     if let Some(took) = took {
         println!("about {:.0} s, at the {took:.0} s that the last ways took", took * rounds.len() as f64);
@@ -442,18 +462,18 @@
 }
 
 /// The name of a step as hooks and logs have it.
-pub fn step_name(step: elmtide_work::state::Step) -> &'static str {
-    use elmtide_work::state::Step;
+pub fn step_name(step: elmtide_maintenance::Step) -> &'static str {
+    use elmtide_maintenance::Step;
     match step {
-        Step::Next => "next",
-        Step::Leave => "leave",
-        Step::Empty => "empty",
+        Step::Schedule => "next",
+        Step::Drain => "leave",
+        Step::MarkDrained => "empty",
         Step::Release { .. } => "release",
-        Step::Overdue => "overdue",
-        Step::CallBack => "call-back",
-        Step::Listed => "listed",
+        Step::MarkOverdue => "overdue",
+        Step::Revert => "call-back",
+        Step::MarkListed => "listed",
         Step::Return => "return",
-        Step::Warm => "warm",
-        Step::In => "in",
+        Step::BeginSlowStart => "warm",
+        Step::Complete => "in",
     }
 }
--- a/front/src/fleet_link.rs
+++ b/front/src/fleet_link.rs
@@ -14,7 +14,7 @@
     /// Guaranteed minimums that the store has.
     Minimums(GuaranteedMinimums),
     /// Which machines are in maintenance, with the lease on that.
-    Maintenance(elmtide_work::view::Told),
+    Maintenance(elmtide_maintenance::LeasedMaintenanceView),
     /// Whatever was held was another incarnation's.
     Reset,
     /// Spend no leased quota any more, then confirm it.
@@ -35,7 +35,7 @@
     /// The quotas in force.
     pub quotas: Vec<LocalQuota>,
     /// On machines in maintenance; `None` where that is off.
-    pub maintenance: Option<elmtide_work::Said>,
+    pub maintenance: Option<elmtide_maintenance::MaintenanceReport>,
     /// On this front's own site.
     pub own_site: OwnSiteState,
 }
--- a/lab/src/work.rs
+++ b/lab/src/work.rs
@@ -7,15 +7,18 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use elmtide_budgets::{Epoch, FrontId, HolderId, Incarnation};
+use elmtide_maintenance::planning::{least_rounds, plan_rounds, Observations};
+use elmtide_maintenance::report::{MachineObservation, WorkOutcome};
+use elmtide_maintenance::CoordinatorInput;
+use elmtide_maintenance::{
+    DisruptionBudget, MachineId, MachineSpec, MaintenanceCommand, MaintenanceCoordinator, MaintenanceReport,
+    MaintenanceState,
+};
 use elmtide_standins::fleet::{cold_settings, Fleet, Plan, NAME};
 use elmtide_standins::links::Way;
 use elmtide_standins::node::{runs, Behaviour, Node};
 use elmtide_standins::till::{Asks, Load};
 use elmtide_standins::until;
-use elmtide_work::conductor::Now;
-use elmtide_work::plan::{least_rounds, rounds, Facts};
-use elmtide_work::view::{Sight, Work};
-use elmtide_work::{Bounds, Command, Conductor, MachineId, Said, Spec, State};
 use serde_json::Value;
 
 /// Boxes of each location, and parents.
@@ -330,47 +333,64 @@
         "\n| machines | rounds, and the least | one plan | a dry run of all |\n| --- | --- | --- | --- |"
     );
     for count in [10usize, 100, 1000] {
-        let specs: Vec<Spec> = (0..count)
-            .map(|n| Spec {
+        let specs: Vec<MachineSpec> = (0..count)
+            .map(|n| MachineSpec {
                 name: format!("c-{n}"),
                 location: (n / 4) as u16 + 1,
                 hub: 0,
                 kind: 1,
                 weight: 1000,
-                at: None,
+                address: None,
                 front: None,
             })
             .collect();
-        let ids: Vec<MachineId> = specs.iter().map(|s| MachineId::of(&s.name)).collect();
-        let bounds = Bounds { of_location: 1, further: true, margin: 20, ..Bounds::default() };
-        let mut state = State::default();
+        let ids: Vec<MachineId> = specs.iter().map(|s| MachineId::from_name(&s.name)).collect();
+        let bounds = DisruptionBudget {
+            per_location: 1,
+            tolerates_further_loss: true,
+            capacity_margin_percent: 20,
+            ..DisruptionBudget::default()
+        };
+        let mut state = MaintenanceState::default();
         let refused = |why| format!("{why:?}");
-        state.apply(&Command::Layout { version: 1, machines: specs, bounds }).map_err(refused)?;
-        let mut conductor = Conductor::new();
+        state
+            .apply(&MaintenanceCommand::UpdateMachines { version: 1, machines: specs, budget: bounds })
+            .map_err(refused)?;
+        let mut conductor = MaintenanceCoordinator::new();
         for front in 0..50u64 {
             let holder = HolderId { front: FrontId(front), incarnation: Incarnation(1) };
-            state.joined(holder);
-            let sight = Sight { warm: 100, load: 1, work: Work::Done, ..Sight::default() };
+            state.on_join(holder);
+            let sight = MachineObservation {
+                warm_percent: 100,
+                load: 1,
+                work: WorkOutcome::Succeeded,
+                ..MachineObservation::default()
+            };
             let sights = ids.iter().skip(front as usize * 4).take(40).map(|m| (*m, sight)).collect();
-            let said = Said { seen: Some(Epoch(0)), sights, ..Said::default() };
-            conductor.on_said(&state, holder, said, 0);
+            let said = MaintenanceReport {
+                acknowledged: Some(Epoch(0)),
+                observations: sights,
+                ..MaintenanceReport::default()
+            };
+            conductor.on_report(&state, holder, said, 0);
         }
-        let job = Command::Out {
+        let job = MaintenanceCommand::Request {
             machines: ids.clone(),
-            by: "lab".into(),
+            requested_by: "lab".into(),
             reason: String::new(),
-            minutes: 0,
-            at: 0,
+            expected_minutes: 0,
+            at_ms: 0,
         };
         state.apply(&job).map_err(refused)?;
-        let now = Now { steady: 0, wall: 0, lease: 1, me: FrontId(0), over_at: &|_| 0 };
+        let now =
+            CoordinatorInput { monotonic: 0, wall_ms: 0, lease: 1, own: FrontId(0), drained_at: &|_| 0 };
         let began = Instant::now();
         let proposed = conductor.propose(&state, &now).commands.len();
         let plan = began.elapsed();
         let began = Instant::now();
-        let (rounds, _) = rounds(&state, &Facts::default(), &ids);
+        let rounds = plan_rounds(&state, &Observations::default(), &ids).rounds;
         let all = began.elapsed();
-        let least = least_rounds(state.bounds(), state.specs(), &ids);
+        let least = least_rounds(state.budget(), state.machines(), &ids);
         println!("| {count} | {}, {least} | {plan:.1?} ({proposed} steps) | {all:.1?} |", rounds.len());
     }
     Ok(())
--- a/model/src/schedule.rs
+++ b/model/src/schedule.rs
@@ -1,7 +1,7 @@
 //! Faults drawn from a seed: kills with stores kept or lost, stalls, sleeps, splits, one-way cuts, loss, clocks, steps of demand.
 
 use elmtide_budgets::{BudgetId, BudgetKind};
-use elmtide_work::{Command, JobId, MachineId};
+use elmtide_maintenance::{JobId, MachineId, MaintenanceCommand};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -63,12 +63,12 @@
         world.ignore_leases(random.random_range(0..fronts));
     }
     world.run(3_000_000);
-    let out = |machines: Vec<MachineId>| Command::Out {
+    let out = |machines: Vec<MachineId>| MaintenanceCommand::Request {
         machines,
-        by: "model".into(),
+        requested_by: "model".into(),
         reason: String::new(),
-        minutes: 0,
-        at: 0,
+        expected_minutes: 0,
+        at_ms: 0,
     };
     world.command(random.random_range(0..fronts), out(ids.clone()));
     for _ in 0..steps {
@@ -86,24 +86,28 @@
         let machine = ids[random.random_range(0..ids.len())];
         let command = match random.random_range(0..12u32) {
             0..3 => out(vec![machine]),
-            3 => Command::Hold { job: JobId(1) },
-            4 | 5 => Command::GoOn { job: JobId(1) },
-            6 => Command::CallOff { job: JobId(random.random_range(1..4)), machine: Some(machine) },
-            7 => Command::Word { machine },
+            3 => MaintenanceCommand::PauseJob { job: JobId(1) },
+            4 | 5 => MaintenanceCommand::ResumeJob { job: JobId(1) },
+            6 => MaintenanceCommand::Cancel { job: JobId(random.random_range(1..4)), machine: Some(machine) },
+            7 => MaintenanceCommand::ConfirmReturn { machine },
             _ => continue,
         };
         world.command(node, command);
     }
     heal(&mut world, fronts);
-    let over = |world: &World| world.agreed().is_some_and(|s| s.ways().is_empty());
+    let over = |world: &World| world.agreed().is_some_and(|s| s.progress().is_empty());
     for _ in 0..300 {
         world.run(200_000);
         world.work_on();
         let held: Vec<JobId> = world.agreed().map_or(Vec::new(), |s| {
-            s.jobs().iter().filter(|(_, j)| j.held && j.ended.is_none()).map(|(id, _)| *id).collect()
+            s.jobs()
+                .iter()
+                .filter(|(_, j)| j.is_paused && j.ended_at_ms.is_none())
+                .map(|(id, _)| *id)
+                .collect()
         });
         for job in held {
-            world.command(0, Command::GoOn { job });
+            world.command(0, MaintenanceCommand::ResumeJob { job });
         }
         if over(&world) {
             break;
@@ -111,7 +115,7 @@
     }
     let mut report = world.report();
     if !over(&world) {
-        let left = world.agreed().map(|s| s.ways().clone());
+        let left = world.agreed().map(|s| s.progress().clone());
         report.over.push(format!("a minute after all was healed machines are still out: {left:?}"));
     }
     report
--- a/model/src/world.rs
+++ b/model/src/world.rs
@@ -19,9 +19,11 @@
     RecoveredState,
 };
 use elmtide_fleet::{MaintenanceSettings, SyncResult};
+use elmtide_maintenance::report::{MachineObservation, ObservedState, WorkOutcome};
+use elmtide_maintenance::{
+    DisruptionBudget, MachineId, MachineSpec, MaintenanceCommand, MaintenanceExclusions, Stage,
+};
 use elmtide_rules::spends::{self, Spends};
-use elmtide_work::view::{Looks, Sight, Work};
-use elmtide_work::{Bounds, Command, MachineId, Spec, Stage, Viewer};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -138,7 +140,7 @@
     /// This node's front uses a purse that ignores its lease: a breach on purpose.
     ignores_lease: bool,
     /// What it keeps off, and until when something that it has sent is open at each machine.
-    viewer: Option<Viewer>,
+    viewer: Option<MaintenanceExclusions>,
     open: BTreeMap<MachineId, Micros>,
     /// What it sees of sites.
     looker: Option<Looker>,
@@ -157,32 +159,36 @@
 impl Machines {
     /// So many machines, so many to a location, of which one may be out.
     pub fn new(count: usize, to_a_location: usize) -> Machines {
-        let specs: Vec<Spec> = (0..count)
-            .map(|n| Spec {
+        let specs: Vec<MachineSpec> = (0..count)
+            .map(|n| MachineSpec {
                 name: format!("c-{n}"),
                 location: (n / to_a_location.max(1)) as u16 + 1,
                 hub: 0,
                 kind: 1,
                 weight: 1_000_000,
-                at: None,
+                address: None,
                 front: None,
             })
             .collect();
-        let bounds = Bounds { of_location: 1, further: false, ..Bounds::default() };
-        let born = specs.iter().map(|s| (MachineId::of(&s.name), Some(1))).collect();
+        let bounds = DisruptionBudget {
+            per_location: 1,
+            tolerates_further_loss: false,
+            ..DisruptionBudget::default()
+        };
+        let born = specs.iter().map(|s| (MachineId::from_name(&s.name), Some(1))).collect();
         Machines { specs, bounds, born, rate: 40.0, open: 100_000 }
     }
 
     pub fn ids(&self) -> Vec<MachineId> {
-        self.specs.iter().map(|s| MachineId::of(&s.name)).collect()
+        self.specs.iter().map(|s| MachineId::from_name(&s.name)).collect()
     }
 }
 
 /// Machines in simulated time: what fronts send there, and which are there.
 #[derive(Clone, Debug)]
 pub struct Machines {
-    pub specs: Vec<Spec>,
-    pub bounds: Bounds,
+    pub specs: Vec<MachineSpec>,
+    pub bounds: DisruptionBudget,
     /// Of each machine: when it started, in Unix milliseconds; it is away while it has none.
     pub born: BTreeMap<MachineId, Option<u64>>,
     /// Requests a second that each front sends, to machines in turns; how long one is open.
@@ -232,7 +238,7 @@
     pub outcomes: Vec<(Micros, usize, CommandOutcome)>,
     checked_at: Micros,
     pub machines: Option<Machines>,
-    agreed: Option<elmtide_work::State>,
+    agreed: Option<elmtide_maintenance::MaintenanceState>,
     pub(crate) sites: Option<Sites>,
     tag: u64,
 }
@@ -363,8 +369,10 @@
         place.looker = self.sites.as_ref().map(|s| Looker::new(s.count, node % s.count, clocks.monotonic));
         if let Some(machines) = &self.machines {
             let first = place.viewer.is_none();
-            place.viewer =
-                Some(Viewer::new(terms, machines.specs.iter().map(|s| (MachineId::of(&s.name), None))));
+            place.viewer = Some(MaintenanceExclusions::new(
+                terms,
+                machines.specs.iter().map(|s| (MachineId::from_name(&s.name), None)),
+            ));
             if first {
                 self.push(self.now, Event::Send { node });
             }
@@ -668,7 +676,7 @@
                 Output::ApplyGrant(grant) => self.nodes[node].purse.apply_grant(grant, clocks),
                 Output::ApplyMaintenanceView(told) => {
                     if let Some(viewer) = &mut self.nodes[node].viewer {
-                        viewer.take(&told, clocks);
+                        viewer.apply(&told, clocks);
                     }
                 }
                 Output::ApplySiteView(told) => {
@@ -740,7 +748,7 @@
     // ---- Machines out for work ----
 
     /// Asks at a node for a command about machines.
-    pub fn command(&mut self, node: usize, command: Command) -> bool {
+    pub fn command(&mut self, node: usize, command: MaintenanceCommand) -> bool {
         self.change(node, AgreedCommand::Maintenance(command))
     }
 
@@ -764,19 +772,28 @@
         let (Some(viewer), Some(member)) = (&place.viewer, &mut place.member) else { return };
         place.open.retain(|_, until| now < *until);
         let sight = |machine: &MachineId, born: &Option<u64>| {
-            let looks = if born.is_some() { Looks::Ready } else { Looks::Absent };
-            (*machine, Sight { looks, born: born.unwrap_or(0), warm: 100, load: 1, work: Work::Done })
+            let looks = if born.is_some() { ObservedState::Ready } else { ObservedState::Absent };
+            (
+                *machine,
+                MachineObservation {
+                    state: looks,
+                    started_at_ms: born.unwrap_or(0),
+                    warm_percent: 100,
+                    load: 1,
+                    work: WorkOutcome::Succeeded,
+                },
+            )
         };
-        let said = elmtide_work::Said {
-            seen: viewer.has_view().then(|| viewer.number()),
-            clear: viewer.leaving().filter(|m| !place.open.contains_key(m)).collect(),
+        let said = elmtide_maintenance::MaintenanceReport {
+            acknowledged: viewer.has_view().then(|| viewer.epoch()),
+            drained: viewer.excluded_by_view().filter(|m| !place.open.contains_key(m)).collect(),
             // Each machine is told of by a few fronts, as those of its location would.
-            sights: (machines.born.iter().enumerate())
+            observations: (machines.born.iter().enumerate())
                 .filter(|(at, _)| at % self.setup.fronts.min(8) == node % 8)
                 .map(|(_, (machine, born))| sight(machine, born))
                 .collect(),
-            strained: false,
-            looks: false,
+            is_overloaded: false,
+            needs_details: false,
         };
         member.report_maintenance(said, clocks);
     }
@@ -795,14 +812,14 @@
 
     /// Who works on machines: one that is let go is taken away at once, and is there again at the next call.
     pub fn work_on(&mut self) {
-        let ways = self.agreed().map(|s| s.ways().clone()).unwrap_or_default();
+        let ways = self.agreed().map(|s| s.progress().clone()).unwrap_or_default();
         let born = self.now / 1000 + 1;
         let Some(machines) = &mut self.machines else { return };
         for (machine, there) in &mut machines.born {
             let way = ways.get(machine).filter(|w| w.stage == Stage::Released);
             match (way, *there) {
                 (_, None) => *there = Some(born),
-                (Some(way), Some(since)) if since == way.born => *there = None,
+                (Some(way), Some(since)) if since == way.started_at_ms => *there = None,
                 _ => {}
             }
         }
@@ -815,7 +832,7 @@
         let count = machines.specs.len();
         let turn = self.random.random_range(0..count.max(1));
         let gap = -(1.0 - self.random.random::<f64>()).ln() / rate;
-        let machine = machines.specs.get(turn).map(|s| MachineId::of(&s.name));
+        let machine = machines.specs.get(turn).map(|s| MachineId::from_name(&s.name));
         self.push(self.now + ((gap * 1e6) as Micros).max(1), Event::Send { node });
         let place = &mut self.nodes[node];
         let (Some(machine), Some(viewer), true) = (machine, &place.viewer, place.member.is_some()) else {
@@ -823,8 +840,8 @@
         };
         // A breach on purpose: no lease on the view is looked at, and what was next at its end is sent to.
         let off = match place.ignores_lease {
-            true => viewer.stage(machine).is_some_and(|s| s.kept_off(false)),
-            false => viewer.keeps_off(machine, clocks),
+            true => viewer.stage(machine).is_some_and(|s| s.is_excluded()),
+            false => viewer.is_excluded(machine, clocks),
         };
         if off {
             return;
@@ -837,20 +854,22 @@
     }
 
     /// The most that was ever agreed, also where those who know of it are away now.
-    pub fn agreed(&self) -> Option<&elmtide_work::State> {
+    pub fn agreed(&self) -> Option<&elmtide_maintenance::MaintenanceState> {
         self.agreed.as_ref()
     }
 
     fn keep_agreed(&mut self, node: usize) {
         let Some(state) = self.nodes[node].member.as_ref().and_then(FleetNode::maintenance) else { return };
-        let place = |s: &elmtide_work::State| (s.version(), s.number(), s.at(), s.jobs().len());
+        let place = |s: &elmtide_maintenance::MaintenanceState| {
+            (s.version(), s.epoch(), s.clock_ms(), s.jobs().len())
+        };
         if self.agreed.as_ref().is_none_or(|before| place(state) >= place(before) && state != before) {
             self.agreed = Some(state.clone());
         }
     }
 
     fn check_machine(&mut self, machine: MachineId, node: usize) {
-        let stage = self.agreed().and_then(|s| s.ways().get(&machine)).map(|w| w.stage);
+        let stage = self.agreed().and_then(|s| s.progress().get(&machine)).map(|w| w.stage);
         if stage == Some(Stage::Released) && self.report.over.len() < 20 {
             self.report
                 .over
@@ -866,10 +885,10 @@
         let now = self.now;
         let Some(state) = self.agreed() else { return };
         let mut over = Vec::new();
-        if let Some((machine, bound)) = state.over_bounds() {
+        if let Some((machine, bound)) = state.find_excess() {
             over.push(format!("{now} us: {machine:?} is out over its bound: {bound:?}"));
         }
-        for (machine, _) in state.ways().iter().filter(|(_, w)| w.stage == Stage::Released) {
+        for (machine, _) in state.progress().iter().filter(|(_, w)| w.stage == Stage::Released) {
             let open = |n: &Node| n.member.is_some() && n.open.get(machine).is_some_and(|until| now < *until);
             if let Some(node) = self.nodes.iter().position(open) {
                 over.push(format!(
--- a/model/tests/work.rs
+++ b/model/tests/work.rs
@@ -1,8 +1,8 @@
 //! Machines out for work in simulated time: nobody sends to one that is let go, whatever fails; and every job ends.
 
+use elmtide_maintenance::{MachineId, MaintenanceCommand, Stage};
 use elmtide_model::schedule::{play_work, Rough};
 use elmtide_model::{Machines, Net, Setup, World};
-use elmtide_work::{Command, MachineId, Stage};
 
 const SECOND: u64 = 1_000_000;
 
@@ -14,7 +14,13 @@
 }
 
 fn out(world: &mut World, node: usize, machines: Vec<MachineId>) {
-    let command = Command::Out { machines, by: "model".into(), reason: String::new(), minutes: 0, at: 0 };
+    let command = MaintenanceCommand::Request {
+        machines,
+        requested_by: "model".into(),
+        reason: String::new(),
+        expected_minutes: 0,
+        at_ms: 0,
+    };
     assert!(world.command(node, command));
 }
 
@@ -24,11 +30,11 @@
     while world.now < began + most {
         world.run(SECOND / 5);
         world.work_on();
-        if world.agreed().is_some_and(|s| s.jobs().len() == 1 && s.ways().is_empty()) {
+        if world.agreed().is_some_and(|s| s.jobs().len() == 1 && s.progress().is_empty()) {
             return world.now - began;
         }
     }
-    panic!("not done: {:?}", world.agreed().map(|s| s.ways().clone()));
+    panic!("not done: {:?}", world.agreed().map(|s| s.progress().clone()));
 }
 
 fn clean(world: &mut World) {
@@ -63,7 +69,7 @@
         }
         out(&mut world, rest[0], vec![ids[0]]);
         // It is cut off in the moment in which it sees it next: what it says of that still goes out, what it is told next does not.
-        let seen = |w: &World| w.viewed(cut, ids[0]) == Some(Stage::Next);
+        let seen = |w: &World| w.viewed(cut, ids[0]) == Some(Stage::Scheduled);
         while !seen(&world) {
             world.run(100);
         }
@@ -72,11 +78,11 @@
         let was = world.viewed(cut, ids[0]);
         world.split(&[&[cut], &rest]);
         world.run(8 * SECOND);
-        let stage = world.agreed().unwrap().ways().get(&ids[0]).map(|w| w.stage);
+        let stage = world.agreed().unwrap().progress().get(&ids[0]).map(|w| w.stage);
         assert_eq!(stage, Some(Stage::Released), "the others have let it go");
         let over = world.report().over;
         match (breach, was) {
-            (true, Some(Stage::Next)) => assert!(!over.is_empty(), "the breach is found"),
+            (true, Some(Stage::Scheduled)) => assert!(!over.is_empty(), "the breach is found"),
             (true, was) => panic!("it was cut off when it saw {was:?}"),
             (false, _) => assert!(over.is_empty(), "{over:#?}"),
         }
@@ -120,14 +126,14 @@
     for spec in machines.specs.iter_mut().skip(200) {
         (spec.location, spec.hub, spec.kind) = (900, 1, 2);
     }
-    (machines.bounds.of_hub, machines.rate) = (1, 4.0);
+    (machines.bounds.per_hub, machines.rate) = (1, 4.0);
     let ids = machines.ids();
     let mut world = world(300, machines, 5);
     let before = world.report();
     let began = world.now;
     out(&mut world, 250, ids);
     let mut turn = 0;
-    while world.agreed().is_none_or(|s| s.jobs().is_empty() || !s.ways().is_empty()) {
+    while world.agreed().is_none_or(|s| s.jobs().is_empty() || !s.progress().is_empty()) {
         world.run(SECOND / 5);
         world.work_on();
         turn += 1;
@@ -145,7 +151,11 @@
             50 => world.net(Net::default()),
             _ => {}
         }
-        assert!(world.now < began + 240 * SECOND, "not done: {:?}", world.agreed().map(|s| s.ways().len()));
+        assert!(
+            world.now < began + 240 * SECOND,
+            "not done: {:?}",
+            world.agreed().map(|s| s.progress().len())
+        );
     }
     let report = world.report();
     println!(
