--- a/core/fleet/src/agreed_state.rs
+++ b/core/fleet/src/agreed_state.rs
@@ -25,7 +25,7 @@
     /// Machines in maintenance.
     Maintenance(elmtide_maintenance::MaintenanceCommand),
     /// Sites that are lost.
-    Sites(elmtide_sites::Command),
+    Sites(elmtide_sites::SiteCommand),
 }
 
 /// What applying a command gave.
@@ -40,7 +40,7 @@
     /// Of a command on maintenance: the job, or why it did nothing.
     Maintenance(Result<JobId, elmtide_maintenance::CommandRejected>),
     /// Of a command on sites.
-    Sites(Result<(), elmtide_sites::Refused>),
+    Sites(Result<(), elmtide_sites::CommandRejected>),
 }
 
 impl CommandOutcome {
@@ -63,7 +63,7 @@
     /// Machines in maintenance.
     pub maintenance: elmtide_maintenance::MaintenanceState,
     /// Sites that are lost.
-    pub sites: elmtide_sites::State,
+    pub sites: elmtide_sites::SiteState,
 }
 
 impl AgreedState {
--- a/core/fleet/src/message.rs
+++ b/core/fleet/src/message.rs
@@ -45,9 +45,9 @@
     /// A response with the view of machines in maintenance.
     MaintenanceLeaseResponse(LeaseResponse, elmtide_maintenance::MaintenanceView),
     /// A lease request with what the front reports on other sites, and maybe on machines in maintenance.
-    SiteLeaseRequest(LeaseRequest, Option<elmtide_maintenance::MaintenanceReport>, elmtide_sites::Said),
+    SiteLeaseRequest(LeaseRequest, Option<elmtide_maintenance::MaintenanceReport>, elmtide_sites::SiteReport),
     /// A response with the view of sites, and maybe of machines in maintenance.
-    SiteLeaseResponse(LeaseResponse, Option<elmtide_maintenance::MaintenanceView>, elmtide_sites::View),
+    SiteLeaseResponse(LeaseResponse, Option<elmtide_maintenance::MaintenanceView>, elmtide_sites::SiteView),
     /// A sign of life for fronts of other sites.
     SiteHeartbeat,
 }
@@ -58,7 +58,7 @@
     /// On machines in maintenance.
     pub maintenance: Option<elmtide_maintenance::MaintenanceReport>,
     /// On other sites.
-    pub sites: Option<elmtide_sites::Said>,
+    pub sites: Option<elmtide_sites::SiteReport>,
 }
 
 impl Reports {
@@ -78,7 +78,7 @@
     /// Machines in maintenance.
     pub maintenance: Option<elmtide_maintenance::MaintenanceView>,
     /// Sites.
-    pub sites: Option<elmtide_sites::View>,
+    pub sites: Option<elmtide_sites::SiteView>,
 }
 
 impl Views {
--- a/core/fleet/src/node/commands.rs
+++ b/core/fleet/src/node/commands.rs
@@ -221,7 +221,7 @@
 /// The command as the leader proposes it; `None` for one that only a leader may propose. The time in it is the leader's.
 fn accepted_from_clients(mut command: AgreedCommand, now: Clocks) -> Option<AgreedCommand> {
     use elmtide_maintenance::MaintenanceCommand as Maintenance;
-    use elmtide_sites::Command as Sites;
+    use elmtide_sites::SiteCommand as Sites;
     let now_ms = now.wall / 1000;
     let is_accepted = match &mut command {
         AgreedCommand::Budgets(_) => true,
@@ -231,11 +231,11 @@
         }
         AgreedCommand::Maintenance(Maintenance::Acknowledge { .. } | Maintenance::Advance { .. }) => false,
         AgreedCommand::Maintenance(_) => true,
-        AgreedCommand::Sites(Sites::Operator { at, .. }) => {
+        AgreedCommand::Sites(Sites::OverrideByOperator { at_ms: at, .. }) => {
             *at = now_ms;
             true
         }
-        AgreedCommand::Sites(Sites::Layout { .. }) => true,
+        AgreedCommand::Sites(Sites::UpdateSites { .. }) => true,
         AgreedCommand::Sites(_) | AgreedCommand::AssignVoter { .. } => false,
     };
     is_accepted.then_some(command)
@@ -247,7 +247,7 @@
         AgreedCommand::Budgets(BudgetCommand::Leave { .. }) => CommandSummary::Leave,
         AgreedCommand::Budgets(BudgetCommand::RemoveFront { .. }) => CommandSummary::RemoveFront,
         AgreedCommand::Maintenance(elmtide_maintenance::MaintenanceCommand::UpdateMachines { .. })
-        | AgreedCommand::Sites(elmtide_sites::Command::Layout { .. }) => CommandSummary::Layout,
+        | AgreedCommand::Sites(elmtide_sites::SiteCommand::UpdateSites { .. }) => CommandSummary::Layout,
         _ => CommandSummary::Other,
     }
 }
--- a/core/fleet/src/node/heartbeat.rs
+++ b/core/fleet/src/node/heartbeat.rs
@@ -23,9 +23,9 @@
     /// The turns of a site's fronts are spread over the other's, so that each of them hears each site at this pace.
     fn heartbeat_targets(&self) -> Vec<FrontId> {
         let Some(rules) = &self.settings.sites else { return Vec::new() };
-        let Some(own_site) = rules.fronts.get(&self.own) else { return Vec::new() };
+        let Some(own_site) = rules.site_of_front.get(&self.own) else { return Vec::new() };
         let mut by_site: BTreeMap<SiteId, Vec<FrontId>> = BTreeMap::new();
-        for (front, site) in &rules.fronts {
+        for (front, site) in &rules.site_of_front {
             by_site.entry(*site).or_default().push(*front);
         }
         let neighbours = by_site.get(own_site);
--- a/core/fleet/src/node/leadership.rs
+++ b/core/fleet/src/node/leadership.rs
@@ -98,7 +98,7 @@
                 term,
                 allocator: LeaseAllocator::new(lease_settings, now.monotonic),
                 maintenance: elmtide_maintenance::MaintenanceCoordinator::new(),
-                sites: elmtide_sites::Conductor::default(),
+                sites: elmtide_sites::FailoverCoordinator::default(),
             });
         }
         if let Some(term) = ended {
@@ -278,7 +278,7 @@
         if agreed.maintenance.version() > 0 {
             holders.extend(leadership.maintenance.holders_to_notify(&agreed.maintenance));
         }
-        holders.extend(leadership.sites.behind(&agreed.sites));
+        holders.extend(leadership.sites.holders_behind(&agreed.sites));
         holders.sort_unstable();
         holders.dedup();
         holders
@@ -292,7 +292,7 @@
             leadership.maintenance.on_report(&agreed.maintenance, holder, report, now.monotonic);
         }
         if let Some(report) = reports.sites.filter(|_| agreed.budgets.current_holder(holder).is_some()) {
-            leadership.sites.on_said(holder, report, now.monotonic);
+            leadership.sites.on_report(holder, report, now.monotonic);
         }
         leadership.allocator.on_request(&agreed.budgets, request, now.monotonic);
         if self.syncing.is_none() {
@@ -326,9 +326,9 @@
         if agreed.sites.version() == 0 {
             return;
         }
-        let clock = elmtide_sites::conductor::Now {
-            steady: input.now.monotonic,
-            wall: input.now.wall / MICROS_PER_MS,
+        let clock = elmtide_sites::CoordinatorInput {
+            monotonic: input.now.monotonic,
+            wall_ms: input.now.wall / MICROS_PER_MS,
             lease: agreed.budgets.lease(),
         };
         let commands = self.sites.propose(&agreed.sites, rules, &clock);
--- a/core/fleet/src/node/lease.rs
+++ b/core/fleet/src/node/lease.rs
@@ -87,9 +87,9 @@
 
     /// What the front reports on other sites, from now on. Another opinion of a site, and that it decides by another view, is
     /// reported at once.
-    pub fn report_sites(&mut self, report: elmtide_sites::Said, now: Clocks) {
+    pub fn report_sites(&mut self, report: elmtide_sites::SiteReport, now: Clocks) {
         let Some(before) = &mut self.reports.sites else { return };
-        let is_urgent = report.words != before.words || report.seen != before.seen;
+        let is_urgent = report.opinions != before.opinions || report.view_revision != before.view_revision;
         *before = report;
         if is_urgent {
             self.lease.request_soon(self.settings.tick, now);
@@ -201,8 +201,8 @@
         }
         let (asked, ends) = (grant.requested_at, grant.expires_at);
         if let Some(view) = views.sites {
-            self.lease.sites_version = view.version;
-            let leased = elmtide_sites::Told { view, asked, ends };
+            self.lease.sites_version = view.sites_version;
+            let leased = elmtide_sites::LeasedSiteView { view, requested_at: asked, expires_at: ends };
             self.outputs.push_back(Output::ApplySiteView(leased));
         }
         if let Some(view) = views.maintenance {
--- a/core/fleet/src/node/replication.rs
+++ b/core/fleet/src/node/replication.rs
@@ -237,11 +237,13 @@
     }
 }
 
-fn site_event(command: &elmtide_sites::Command) -> Option<Event> {
-    use elmtide_sites::{Command, Standing};
+fn site_event(command: &elmtide_sites::SiteCommand) -> Option<Event> {
+    use elmtide_sites::{RecoveryPhase, SiteCommand};
     let (site, standing) = match command {
-        Command::Declare { site, .. } | Command::Operator { site, lost: true, .. } => (*site, Standing::Lost),
-        Command::Step { site, to, .. } => (*site, *to),
+        SiteCommand::DeclareLost { site, .. } | SiteCommand::OverrideByOperator { site, lost: true, .. } => {
+            (*site, RecoveryPhase::Lost)
+        }
+        SiteCommand::AdvanceRecovery { site, to, .. } => (*site, *to),
         _ => return None,
     };
     Some(Event::SiteChanged { site, standing })
--- a/core/fleet/src/node/status.rs
+++ b/core/fleet/src/node/status.rs
@@ -130,7 +130,7 @@
     }
 
     /// The agreed state of sites, if this node has one.
-    pub fn sites(&self) -> Option<&elmtide_sites::State> {
+    pub fn sites(&self) -> Option<&elmtide_sites::SiteState> {
         self.active_voter().map(|active| &active.voter.machine().sites)
     }
 
--- a/core/fleet/src/node/voting.rs
+++ b/core/fleet/src/node/voting.rs
@@ -77,7 +77,7 @@
     pub term: u64,
     pub allocator: LeaseAllocator,
     pub maintenance: elmtide_maintenance::MaintenanceCoordinator,
-    pub sites: elmtide_sites::Conductor,
+    pub sites: elmtide_sites::FailoverCoordinator,
 }
 
 impl ActiveVoter {
--- a/core/fleet/src/output.rs
+++ b/core/fleet/src/output.rs
@@ -5,7 +5,7 @@
 use elmtide_consensus::VoterId;
 use elmtide_maintenance::MachineId;
 use elmtide_maintenance::Step;
-use elmtide_sites::{SiteId, Standing};
+use elmtide_sites::{RecoveryPhase, SiteId};
 
 use crate::agreed_state::CommandOutcome;
 
@@ -30,7 +30,7 @@
     /// Exclude these machines from now on.
     ApplyMaintenanceView(elmtide_maintenance::LeasedMaintenanceView),
     /// These sites are lost from now on.
-    ApplySiteView(elmtide_sites::Told),
+    ApplySiteView(elmtide_sites::LeasedSiteView),
     /// The outcome of a command that was requested under this tag.
     CommandEnded(u64, CommandOutcome),
     /// Something that operators may want to know.
@@ -125,7 +125,7 @@
         /// The site.
         site: SiteId,
         /// Its new standing.
-        standing: Standing,
+        standing: RecoveryPhase,
     },
     /// A machine in maintenance has advanced; reported by the leader.
     MachineAdvanced {
--- a/core/fleet/src/settings.rs
+++ b/core/fleet/src/settings.rs
@@ -45,7 +45,7 @@
     /// `None` where maintenance is off.
     pub maintenance: Option<MaintenanceSettings>,
     /// `None` where sites are not watched.
-    pub sites: Option<elmtide_sites::Rules>,
+    pub sites: Option<elmtide_sites::FailoverSettings>,
 }
 
 impl FleetSettings {
@@ -78,11 +78,11 @@
     /// The command that puts the sites into force, where they are watched.
     pub(crate) fn sites_command(&self) -> Option<AgreedCommand> {
         let rules = self.sites.as_ref()?;
-        Some(AgreedCommand::Sites(elmtide_sites::Command::Layout {
+        Some(AgreedCommand::Sites(elmtide_sites::SiteCommand::UpdateSites {
             version: self.version,
             sites: rules.sites,
-            patience: rules.patience,
-            ceiling: rules.ceiling,
+            patience_ms: rules.patience_ms,
+            max_patience_ms: rules.max_patience_ms,
         }))
     }
 }
--- a/core/fleet/tests/golden.rs
+++ b/core/fleet/tests/golden.rs
@@ -15,9 +15,9 @@
     DisruptionBudget, JobId, MachineId, MachineSpec, MaintenanceReport, MaintenanceView, ReturnPolicy, Stage,
 };
 use elmtide_maintenance::{DisruptionLimit, HostedFront, Job, MachineProgress, PlacedMachine, Step};
-use elmtide_sites::state::{SiteId, Standing};
-use elmtide_sites::view::Since;
-use elmtide_sites::watch::{Looks as SiteLooks, Word as SiteWord};
+use elmtide_sites::report::SiteViewEntry;
+use elmtide_sites::{Reachability as SiteLooks, SiteOpinion as SiteWord};
+use elmtide_sites::{RecoveryPhase, SiteId};
 
 fn golden(name: &str) -> GoldenFile {
     GoldenFile::new(format!("{}/tests/golden/{name}", env!("CARGO_MANIFEST_DIR")))
@@ -161,21 +161,27 @@
 }
 
 fn site_words() -> Vec<(SiteId, SiteWord)> {
-    let word = |fronts, boxes| SiteWord { fronts, boxes };
+    let word = |fronts, boxes| SiteWord { fronts, caches: boxes };
     vec![
-        (SiteId(1), word(SiteLooks::Silent, SiteLooks::Silent)),
-        (SiteId(2), word(SiteLooks::Heard, SiteLooks::Poor)),
+        (SiteId(1), word(SiteLooks::Unreachable, SiteLooks::Unreachable)),
+        (SiteId(2), word(SiteLooks::Reachable, SiteLooks::Degraded)),
     ]
 }
 
-fn sites_said() -> elmtide_sites::Said {
-    elmtide_sites::Said { words: site_words(), seen: Some(4), caught_up: true, warm: false, strained: true }
+fn sites_said() -> elmtide_sites::SiteReport {
+    elmtide_sites::SiteReport {
+        opinions: site_words(),
+        view_revision: Some(4),
+        has_caught_up: true,
+        caches_warm: false,
+        is_overloaded: true,
+    }
 }
 
-fn sites_view() -> elmtide_sites::View {
-    let since = Since { at: 1_700_000_000_000, by_operator: true };
-    let sites = Standing::ALL.into_iter().map(|standing| (standing, since)).collect();
-    elmtide_sites::View { number: 4, version: 2, sites }
+fn sites_view() -> elmtide_sites::SiteView {
+    let entry = |phase| SiteViewEntry { phase, since_ms: 1_700_000_000_000, by_operator: true };
+    let sites = RecoveryPhase::ALL.into_iter().map(entry).collect();
+    elmtide_sites::SiteView { revision: 4, sites_version: 2, sites }
 }
 
 fn raft_message() -> Message {
@@ -352,16 +358,21 @@
     ]
 }
 
-fn site_commands() -> Vec<elmtide_sites::Command> {
-    use elmtide_sites::Command;
-    let lost = SiteWord { fronts: SiteLooks::Silent, boxes: SiteLooks::Silent };
+fn site_commands() -> Vec<elmtide_sites::SiteCommand> {
+    use elmtide_sites::SiteCommand;
+    let lost = SiteWord { fronts: SiteLooks::Unreachable, caches: SiteLooks::Unreachable };
     vec![
-        Command::Layout { version: 1, sites: 4, patience: 1000, ceiling: 16_000 },
-        Command::Say { by: SiteId(1), words: vec![(SiteId(0), lost)], at: 10_000 },
-        Command::Say { by: SiteId(2), words: vec![(SiteId(0), lost)], at: 10_000 },
-        Command::Declare { site: SiteId(0), number: 0, at: 11_500 },
-        Command::Step { site: SiteId(0), number: 1, to: Standing::Contact, at: 12_000 },
-        Command::Operator { site: SiteId(3), lost: true, at: 13_000 },
+        SiteCommand::UpdateSites { version: 1, sites: 4, patience_ms: 1000, max_patience_ms: 16_000 },
+        SiteCommand::ReportOpinions { by: SiteId(1), opinions: vec![(SiteId(0), lost)], at_ms: 10_000 },
+        SiteCommand::ReportOpinions { by: SiteId(2), opinions: vec![(SiteId(0), lost)], at_ms: 10_000 },
+        SiteCommand::DeclareLost { site: SiteId(0), revision: 0, at_ms: 11_500 },
+        SiteCommand::AdvanceRecovery {
+            site: SiteId(0),
+            revision: 1,
+            to: RecoveryPhase::InContact,
+            at_ms: 12_000,
+        },
+        SiteCommand::OverrideByOperator { site: SiteId(3), lost: true, at_ms: 13_000 },
     ]
 }
 
@@ -443,16 +454,16 @@
     for (place, refused) in refused.into_iter().enumerate() {
         file.value(&format!("work_{place}"), &CommandOutcome::Maintenance(Err(refused)));
     }
-    use elmtide_sites::Refused as Sites;
+    use elmtide_sites::CommandRejected as Sites;
     let refused = [
-        Sites::OldLayout,
-        Sites::TooMany,
-        Sites::Unknown(SiteId(1)),
-        Sites::Changed,
-        Sites::Words { there: 1, needed: 2 },
-        Sites::Patience(300),
-        Sites::ByOperator,
-        Sites::NotNext,
+        Sites::StaleVersion,
+        Sites::LimitExceeded,
+        Sites::UnknownSite(SiteId(1)),
+        Sites::StaleRevision,
+        Sites::TooFewOpinions { present: 1, needed: 2 },
+        Sites::PatienceNotElapsed(300),
+        Sites::DeclaredByOperator,
+        Sites::NotNextPhase,
     ];
     file.value("sites_done", &CommandOutcome::Sites(Ok(())));
     for (place, refused) in refused.into_iter().enumerate() {
--- /dev/null
+++ b/core/sites/src/coordinator.rs
@@ -0,0 +1,206 @@
+//! What the leader proposes for sites: from what fronts report with their lease requests, and by its own clock from its own
+//! election on. All of it is volatile; a new leader hears it again.
+//!
+//! A site's opinion is what most of its fronts say that are heard; a site of which none is heard has no opinion any more. So one
+//! front, or one site with a broken link, has one opinion of many.
+
+use std::collections::BTreeMap;
+
+use elmtide_budgets::{FrontId, HolderId, Micros};
+
+use crate::command::{SiteCommand, MAX_SITES};
+use crate::opinion::{majority_opinion, SiteOpinion};
+use crate::report::{SiteReport, SiteView, SiteViewEntry};
+use crate::site::{RecoveryPhase, SiteId};
+use crate::state::{SiteEntry, SiteState};
+
+/// Most fronts that are remembered.
+const MAX_FRONTS: usize = 4096;
+
+/// What the configuration says of sites.
+#[derive(Clone, Debug, PartialEq)]
+pub struct FailoverSettings {
+    /// Number of sites.
+    pub sites: u16,
+    /// For how long opinions have to be held before a loss, in milliseconds.
+    pub patience_ms: u64,
+    /// The longest that this can become by failed recoveries.
+    pub max_patience_ms: u64,
+    /// How long each phase of a recovery takes at the least, in milliseconds.
+    pub min_phase_ms: u64,
+    /// Where each front is.
+    pub site_of_front: BTreeMap<FrontId, SiteId>,
+}
+
+/// The moment.
+pub struct CoordinatorInput {
+    /// The leader's monotonic clock.
+    pub monotonic: Micros,
+    /// The leader's Unix clock, in milliseconds.
+    pub wall_ms: u64,
+    /// Length of a lease.
+    pub lease: Micros,
+}
+
+#[derive(Clone, Debug)]
+struct ReceivedReport {
+    holder: HolderId,
+    received_at: Micros,
+    report: SiteReport,
+}
+
+/// The leader's side, new with each election.
+#[derive(Clone, Debug, Default)]
+pub struct FailoverCoordinator {
+    reports: BTreeMap<FrontId, ReceivedReport>,
+}
+
+impl FailoverCoordinator {
+    /// Takes what a front reports.
+    pub fn on_report(&mut self, holder: HolderId, mut report: SiteReport, now: Micros) {
+        report.opinions.truncate(MAX_SITES);
+        let known = self.reports.get(&holder.front);
+        let is_superseded = known.is_some_and(|known| known.holder.incarnation > holder.incarnation);
+        if !is_superseded && (self.reports.len() < MAX_FRONTS || known.is_some()) {
+            self.reports.insert(holder.front, ReceivedReport { holder, received_at: now, report });
+        }
+    }
+
+    /// What goes with a response to a front that reports on sites.
+    pub fn view(&self, state: &SiteState, front: FrontId) -> Option<SiteView> {
+        self.reports.get(&front)?;
+        let entry = |entry: &SiteEntry| SiteViewEntry {
+            phase: entry.phase,
+            since_ms: entry.since_ms,
+            by_operator: entry.by_operator,
+        };
+        (state.version() > 0).then(|| SiteView {
+            revision: state.revision(),
+            sites_version: state.version(),
+            sites: state.sites().values().map(entry).collect(),
+        })
+    }
+
+    /// Holders that decide by an older view.
+    pub fn holders_behind<'a>(&'a self, state: &'a SiteState) -> impl Iterator<Item = HolderId> + 'a {
+        let revision = state.revision();
+        let is_behind = move |received: &&ReceivedReport| {
+            received.report.view_revision.is_some_and(|seen| seen < revision)
+        };
+        self.reports.values().filter(is_behind).map(|received| received.holder)
+    }
+
+    /// Recent reports of the fronts of a site.
+    fn recent_reports<'a>(
+        &'a self,
+        settings: &FailoverSettings,
+        input: &CoordinatorInput,
+        site: SiteId,
+    ) -> Vec<&'a SiteReport> {
+        let is_of_site = |front: &FrontId| settings.site_of_front.get(front) == Some(&site);
+        let is_recent = |at: Micros| input.monotonic.saturating_sub(at) <= input.lease;
+        let reports = self.reports.iter();
+        reports
+            .filter(|(front, received)| is_of_site(front) && is_recent(received.received_at))
+            .map(|(_, received)| &received.report)
+            .collect()
+    }
+
+    /// What is to be proposed now: opinions that have changed, losses, recoveries that advance.
+    pub fn propose(
+        &self,
+        state: &SiteState,
+        settings: &FailoverSettings,
+        input: &CoordinatorInput,
+    ) -> Vec<SiteCommand> {
+        let at_ms = input.wall_ms;
+        let sites = state.sites().keys();
+        let mut commands: Vec<SiteCommand> =
+            sites.filter_map(|by| self.changed_opinions(state, settings, input, *by)).collect();
+        commands.extend(state.declarable_losses(at_ms));
+        commands.extend(self.advanced_recoveries(state, settings, input));
+        commands
+    }
+
+    fn changed_opinions(
+        &self,
+        state: &SiteState,
+        settings: &FailoverSettings,
+        input: &CoordinatorInput,
+        by: SiteId,
+    ) -> Option<SiteCommand> {
+        let reports = self.recent_reports(settings, input, by);
+        let others = || state.sites().keys().copied().filter(|of| *of != by);
+        let unhealthy = |(_, opinion): &(SiteId, SiteOpinion)| *opinion != SiteOpinion::HEALTHY;
+        let opinions: Vec<(SiteId, SiteOpinion)> = if reports.is_empty() {
+            Vec::new()
+        } else {
+            others().map(|of| (of, opinion_of_site(&reports, of))).filter(unhealthy).collect()
+        };
+        let before: Vec<(SiteId, SiteOpinion)> =
+            others().map(|of| (of, state.opinion(by, of))).filter(unhealthy).collect();
+        let has_changed = opinions != before;
+        has_changed.then_some(SiteCommand::ReportOpinions { by, opinions, at_ms: input.wall_ms })
+    }
+
+    fn advanced_recoveries(
+        &self,
+        state: &SiteState,
+        settings: &FailoverSettings,
+        input: &CoordinatorInput,
+    ) -> Vec<SiteCommand> {
+        let at_ms = input.wall_ms;
+        let mut commands = Vec::new();
+        for (site, entry) in state.sites() {
+            let is_recovering = entry.phase != RecoveryPhase::Serving && !entry.by_operator;
+            let is_due = at_ms.saturating_sub(entry.since_ms) >= settings.min_phase_ms;
+            if !is_recovering || !is_due || !self.may_advance(state, settings, input, *site) {
+                continue;
+            }
+            if let Some(to) = entry.phase.next() {
+                let (site, revision) = (*site, entry.revision);
+                commands.push(SiteCommand::AdvanceRecovery { site, revision, to, at_ms });
+            }
+        }
+        commands
+    }
+
+    /// Whether what the next phase of a site's recovery rests on is there.
+    fn may_advance(
+        &self,
+        state: &SiteState,
+        settings: &FailoverSettings,
+        input: &CoordinatorInput,
+        site: SiteId,
+    ) -> bool {
+        let Some(entry) = state.sites().get(&site) else { return false };
+        let fronts = settings.site_of_front.values().filter(|of| **of == site).count();
+        let reports = self.recent_reports(settings, input, site);
+        // A hub has no fronts: it is heard again when no site is of the opinion that it is not.
+        let is_heard = fronts == 0 || reports.len() * 2 > fronts;
+        let is_silent_to_some =
+            state.sites().keys().any(|by| *by != site && state.opinion(*by, site).indicates_loss());
+        if !is_heard || is_silent_to_some {
+            return false;
+        }
+        let have_view = reports.iter().all(|r| r.view_revision == Some(state.revision()));
+        match entry.phase {
+            RecoveryPhase::Lost => true,
+            RecoveryPhase::InContact => have_view && reports.iter().all(|r| r.has_caught_up),
+            RecoveryPhase::CaughtUp => have_view && reports.iter().all(|r| r.has_caught_up && r.caches_warm),
+            // An overload elsewhere is no reason to keep clients from home.
+            RecoveryPhase::WarmedUp | RecoveryPhase::QuarterTraffic | RecoveryPhase::HalfTraffic => {
+                have_view && reports.iter().all(|r| !r.is_overloaded)
+            }
+            RecoveryPhase::Serving => false,
+        }
+    }
+}
+
+fn opinion_of_site(reports: &[&SiteReport], of: SiteId) -> SiteOpinion {
+    let opinion = |report: &&SiteReport| {
+        let named = report.opinions.iter().find(|(site, _)| *site == of);
+        named.map_or(SiteOpinion::HEALTHY, |(_, opinion)| *opinion)
+    };
+    majority_opinion(&reports.iter().map(opinion).collect::<Vec<_>>())
+}
--- a/core/sites/src/lib.rs
+++ b/core/sites/src/lib.rs
@@ -1,31 +1,43 @@
-//! The loss of a whole site: a branch (its fronts and boxes) or a hub (its parents).
+//! Failover of whole sites: which sites are lost, where the clients of a lost one go and what is shed first, and how its return is
+//! paced.
 //!
-//! **Invariants.** (1) No room, link, hub or the origin is planned to bear more than the file says, and the own clients of a taker lose no
-//! more than a stated part. (2) A site is lost by the words of a majority of the sites that are not, two at least, held for its patience,
-//! or by an operator; and it comes back one step at a time.
+//! **Invariant: a site is lost only by the replicated log: by the opinions of a majority of the other sites, held for its patience, or
+//! by an operator; and a key has one owner at a time, by leases and by waiting until an earlier owner's must have expired.** It
+//! rests on a majority of the voters and on clocks that run at one rate for the length of a lease. It does not rest on what one
+//! front hears, on timers that fire, or on synchronized clocks.
 //!
-//! (1) rests on the figures of the file and of what was measured; where they are wrong, limits in service hold all the same. (2) rests on a
-//! majority of the voters and their synced stores. Neither rests on who seems alive to one front, on timers that fire or on equal
-//! clocks. When nobody agrees, sites stay as they were last agreed to be.
-//!
-//! - [`plan`]: for every loss of one site, and of each pair that is asked for, where its clients go, who fills through whom, what is refused in
-//!   which order;
-//! - [`watch`]: what one front sees of other sites;
-//! - [`state`]: which sites are lost by agreement, and how far those that return have come;
-//! - [`conductor`]: what the leader proposes;
-//! - [`view`]: what fronts say and are told, with a lease;
-//! - [`direct`]: where each client goes by that, and who is refused.
+//! - [`site`], [`opinion`], [`report`]: the types;
+//! - [`health_monitor`]: what one front hears of other sites;
+//! - [`command`], [`state`]: the replicated state and the commands that change it;
+//! - [`coordinator`]: what the leader proposes, from what fronts report;
+//! - [`held_view`], [`ownership`]: what a front decides by: its view with the lease on it, and who owns a key;
+//! - [`failover_plan`]: where clients go for each loss, by a linear program made before;
+//! - [`routing`]: where one client goes by that, and who is rejected.
+
+#![warn(clippy::needless_pass_by_value, clippy::too_many_lines, clippy::fn_params_excessive_bools)]
 
-pub mod conductor;
-pub mod direct;
-pub mod plan;
+pub mod command;
+pub mod coordinator;
+pub mod failover_plan;
+pub mod health_monitor;
+pub mod held_view;
+pub mod opinion;
+pub mod ownership;
+pub mod report;
+pub mod routing;
+pub mod site;
 pub mod state;
-pub mod view;
-pub mod watch;
 
-pub use conductor::{Conductor, Rules};
-pub use direct::Directions;
-pub use plan::{plan, Bound, Class, Layout, Loss, Move, NoPlan, Plan, Site};
-pub use state::{Command, Refused, SiteId, Standing, State};
-pub use view::{Holding, Said, Told, View};
-pub use watch::{Watcher, Word};
+pub use command::{CommandRejected, SiteCommand};
+pub use coordinator::{CoordinatorInput, FailoverCoordinator, FailoverSettings};
+pub use failover_plan::{
+    plan, BindingConstraint, Class, FailoverPlan, Layout, Loss, PlanError, SiteCapacity,
+};
+pub use health_monitor::SiteHealthMonitor;
+pub use held_view::HeldSiteView;
+pub use opinion::{Reachability, SiteOpinion};
+pub use ownership::{KeyOwner, OwnershipHistory};
+pub use report::{LeasedSiteView, SiteReport, SiteView};
+pub use routing::FailoverRouting;
+pub use site::{RecoveryPhase, SiteId};
+pub use state::SiteState;
--- a/core/sites/src/state.rs
+++ b/core/sites/src/state.rs
@@ -1,307 +1,287 @@
-//! Which sites are lost, and how far those that return have come: changed by commands of the agreed log only.
+//! Which sites are lost, and how far those that return have come: changed by commands of the replicated log only.
 //!
-//! **Invariant: a site is lost by the words of a majority of the sites that are not lost, two at least, one word each, held without a break
-//! for the site's patience; or by an operator.** Time comes with the commands and never goes back.
+//! **Invariant: a site is lost by the opinions of a majority of the sites that are not lost, two at least, one opinion each, held without a
+//! break for the site's patience; or by an operator.** Time comes with the commands and never goes back.
 //!
 //! | from | command | to | what has to hold |
 //! | --- | --- | --- | --- |
-//! | present | `Declare` | lost | the words, held for its patience |
-//! | present | `Operator` lost | lost | - |
-//! | lost | `Step` | contact | its fronts are heard by most |
-//! | contact | `Step` | caught up | its fronts say so: view and purges of the time it missed |
-//! | caught up | `Step` | warm | its boxes are, by the shares of cold ones |
-//! | warm, a quarter, a half | `Step` | a quarter, a half, present | nothing is strained |
-//! | any on the way back | `Declare` | lost | the words, without patience: in one step |
+//! | serving | `DeclareLost` | lost | the opinions, held for its patience |
+//! | serving | `OverrideByOperator` lost | lost | - |
+//! | lost | `AdvanceRecovery` | in contact | its fronts are heard by most |
+//! | in contact | `AdvanceRecovery` | caught up | its fronts report so: view and purges of the time that they missed |
+//! | caught up | `AdvanceRecovery` | warmed up | its caches are, by their slow-start budgets |
+//! | warmed up, a quarter, a half | `AdvanceRecovery` | a quarter, a half, serving | nothing is overloaded |
+//! | any phase of a recovery | `DeclareLost` | lost | the opinions, without patience: in one step |
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-use crate::watch::Word;
+use crate::command::{CommandRejected, SiteCommand, MAX_SITES};
+use crate::opinion::SiteOpinion;
+use crate::site::{RecoveryPhase, SiteId};
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct SiteId(pub u16);
-
-pub const SITES: usize = 256;
-/// A loss is soon after a return within so many of the longest patience.
-const SOON: u64 = 4;
-/// Words that are needed at the least, however few sites there are.
-pub const WORDS: usize = 2;
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Standing {
-    Lost,
-    Contact,
-    CaughtUp,
-    Warm,
-    Quarter,
-    Half,
-    Present,
-}
-
-impl Standing {
-    pub const ALL: [Standing; 7] = [
-        Standing::Lost,
-        Standing::Contact,
-        Standing::CaughtUp,
-        Standing::Warm,
-        Standing::Quarter,
-        Standing::Half,
-        Standing::Present,
-    ];
-
-    /// The step after this one on the way back.
-    pub fn next(self) -> Option<Standing> {
-        let place = Standing::ALL.iter().position(|s| *s == self)?;
-        Standing::ALL.get(place + 1).copied()
-    }
-
-    /// Part of its own clients that the site has, in hundredths.
-    pub fn clients(self) -> u8 {
-        match self {
-            Standing::Present => 100,
-            Standing::Half => 50,
-            Standing::Quarter => 25,
-            _ => 0,
-        }
-    }
-}
+/// A loss within this many of the longest patience after a recovery counts against that recovery.
+const RELAPSE_PATIENCES: u64 = 4;
+/// The fewest opinions that make a loss, however few sites there are.
+pub const MIN_OPINIONS: usize = 2;
+/// Doublings of the patience after which it does not grow any more.
+const MAX_PATIENCE_DOUBLINGS: u8 = 16;
 
+/// One site.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Command {
-    /// So many sites, and the patience with them in milliseconds, at first and at the most.
-    Layout {
-        version: u64,
-        sites: u16,
-        patience: u64,
-        ceiling: u64,
-    },
-    /// What a site says of others from now on: one word for each site, by most of its fronts. Fine is not named.
-    Say {
-        by: SiteId,
-        words: Vec<(SiteId, Word)>,
-        at: u64,
-    },
-    Declare {
-        site: SiteId,
-        number: u64,
-        at: u64,
-    },
-    /// An operator declares a site lost, or clears it: then it returns by the steps.
-    Operator {
-        site: SiteId,
-        lost: bool,
-        at: u64,
-    },
-    Step {
-        site: SiteId,
-        number: u64,
-        to: Standing,
-        at: u64,
-    },
+pub struct SiteEntry {
+    /// How far it is in service.
+    pub phase: RecoveryPhase,
+    /// Revision of its last change.
+    pub revision: u64,
+    /// When it came to its phase, by the leader's Unix clock.
+    pub since_ms: u64,
+    /// An operator has declared it lost.
+    pub by_operator: bool,
+    /// Recent recoveries that ended in another loss.
+    pub failed_recoveries: u8,
 }
 
+/// A site's opinion of another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Refused {
-    OldLayout,
-    TooMany,
-    Unknown(SiteId),
-    /// Something has changed since.
-    Changed,
-    /// So many words are there, of so many that are needed.
-    Words {
-        there: u16,
-        needed: u16,
-    },
-    /// They are not held for long enough: milliseconds that are missing.
-    Patience(u64),
-    /// Only an operator clears what an operator declared.
-    ByOperator,
-    NotNext,
+struct HeldOpinion {
+    opinion: SiteOpinion,
+    /// Since when it indicates a loss.
+    loss_since_ms: Option<u64>,
 }
 
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Entry {
-    pub standing: Standing,
-    /// Of its last change.
-    pub number: u64,
-    pub since: u64,
-    pub by_operator: bool,
-    /// Returns that ended in another loss, of late.
-    pub failed: u8,
+/// Opinions against a site.
+struct OpinionsAgainst {
+    /// Since when each has been held.
+    held_since_ms: Vec<u64>,
+    /// Sites that could have one.
+    electorate: usize,
 }
 
+/// The replicated state of all sites.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct State {
+pub struct SiteState {
     version: u64,
-    patience: u64,
-    ceiling: u64,
-    entries: BTreeMap<SiteId, Entry>,
-    /// By whom, of whom: the word, and since when it says that the site is lost.
-    words: BTreeMap<(SiteId, SiteId), (Word, Option<u64>)>,
-    number: u64,
-    at: u64,
+    patience_ms: u64,
+    max_patience_ms: u64,
+    sites: BTreeMap<SiteId, SiteEntry>,
+    /// By whom, of whom.
+    opinions: BTreeMap<(SiteId, SiteId), HeldOpinion>,
+    revision: u64,
+    clock_ms: u64,
 }
 
-impl State {
+impl SiteState {
+    /// Version of the sites in force; 0 before the first.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    pub fn number(&self) -> u64 {
-        self.number
+    /// Revision of the last change of any site.
+    pub fn revision(&self) -> u64 {
+        self.revision
     }
 
-    pub fn entries(&self) -> &BTreeMap<SiteId, Entry> {
-        &self.entries
+    /// All sites.
+    pub fn sites(&self) -> &BTreeMap<SiteId, SiteEntry> {
+        &self.sites
     }
 
-    /// Sites that the plan in force has as lost: those that have none of their clients yet.
+    /// Sites that serve none of their clients.
     pub fn lost(&self) -> Vec<SiteId> {
-        let none = |(_, e): &(&SiteId, &Entry)| e.standing.clients() == 0;
-        self.entries.iter().filter(none).map(|(site, _)| *site).collect()
+        let lost = self.sites.iter().filter(|(_, entry)| entry.phase.serves_nobody());
+        lost.map(|(site, _)| *site).collect()
     }
 
-    /// How long words have to be held against this site now, in milliseconds: twice as long for each return that failed.
-    pub fn patience(&self, site: SiteId) -> u64 {
-        let failed = self.entries.get(&site).map_or(0, |e| e.failed);
-        (self.patience << failed.min(16)).min(self.ceiling.max(self.patience))
+    /// For how long opinions have to be held against this site now, in milliseconds: twice as long for each failed recovery.
+    pub fn patience_ms(&self, site: SiteId) -> u64 {
+        let failed = self.sites.get(&site).map_or(0, |entry| entry.failed_recoveries);
+        let grown = self.patience_ms << failed.min(MAX_PATIENCE_DOUBLINGS);
+        grown.min(self.max_patience_ms.max(self.patience_ms))
     }
 
-    pub fn apply(&mut self, command: &Command) -> Result<(), Refused> {
+    /// The opinion of one site of another one.
+    pub fn opinion(&self, by: SiteId, of: SiteId) -> SiteOpinion {
+        self.opinions.get(&(by, of)).map_or(SiteOpinion::HEALTHY, |held| held.opinion)
+    }
+
+    /// Applies a command of the log.
+    ///
+    /// # Errors
+    /// Why the command did nothing.
+    pub fn apply(&mut self, command: &SiteCommand) -> Result<(), CommandRejected> {
         match command {
-            Command::Layout { version, sites, patience, ceiling } => {
-                if *version <= self.version {
-                    return Err(Refused::OldLayout);
-                }
-                if usize::from(*sites) > SITES {
-                    return Err(Refused::TooMany);
-                }
-                (self.version, self.patience, self.ceiling) = (*version, *patience, *ceiling);
-                self.entries.retain(|site, _| site.0 < *sites);
-                self.words.retain(|(by, of), _| by.0 < *sites && of.0 < *sites);
-                for site in 0..*sites {
-                    let entry = Entry {
-                        standing: Standing::Present,
-                        number: self.number,
-                        since: self.at,
-                        by_operator: false,
-                        failed: 0,
-                    };
-                    self.entries.entry(SiteId(site)).or_insert(entry);
-                }
-                Ok(())
+            SiteCommand::UpdateSites { version, sites, patience_ms, max_patience_ms } => {
+                self.update_sites(*version, *sites, *patience_ms, *max_patience_ms)
+            }
+            SiteCommand::ReportOpinions { by, opinions, at_ms } => {
+                self.report_opinions(*by, opinions, *at_ms)
             }
-            Command::Say { by, words, at } => self.say(*by, words, *at),
-            Command::Declare { site, number, at } => self.declare(*site, *number, *at),
-            Command::Operator { site, lost, at } => {
-                let entry = self.entries.get(site).ok_or(Refused::Unknown(*site))?.clone();
-                let to = if *lost { Standing::Lost } else { entry.standing };
-                self.change(*site, to, *at);
-                if let Some(entry) = self.entries.get_mut(site) {
-                    entry.by_operator = *lost;
-                }
-                Ok(())
+            SiteCommand::DeclareLost { site, revision, at_ms } => self.declare_lost(*site, *revision, *at_ms),
+            SiteCommand::OverrideByOperator { site, lost, at_ms } => {
+                self.override_by_operator(*site, *lost, *at_ms)
             }
-            Command::Step { site, number, to, at } => {
-                let entry = self.entries.get(site).ok_or(Refused::Unknown(*site))?;
-                if entry.number != *number {
-                    return Err(Refused::Changed);
-                }
-                if entry.by_operator {
-                    return Err(Refused::ByOperator);
-                }
-                if entry.standing.next() != Some(*to) {
-                    return Err(Refused::NotNext);
-                }
-                self.change(*site, *to, *at);
-                Ok(())
+            SiteCommand::AdvanceRecovery { site, revision, to, at_ms } => {
+                self.advance_recovery(*site, *revision, *to, *at_ms)
             }
         }
     }
 
-    fn clock(&mut self, at: u64) -> u64 {
-        self.at = self.at.max(at);
-        self.at
+    fn update_sites(
+        &mut self,
+        version: u64,
+        sites: u16,
+        patience_ms: u64,
+        max_patience_ms: u64,
+    ) -> Result<(), CommandRejected> {
+        if version <= self.version {
+            return Err(CommandRejected::StaleVersion);
+        }
+        if usize::from(sites) > MAX_SITES {
+            return Err(CommandRejected::LimitExceeded);
+        }
+        self.version = version;
+        self.patience_ms = patience_ms;
+        self.max_patience_ms = max_patience_ms;
+        self.sites.retain(|site, _| site.0 < sites);
+        self.opinions.retain(|(by, of), _| by.0 < sites && of.0 < sites);
+        for site in 0..sites {
+            let new = SiteEntry {
+                phase: RecoveryPhase::Serving,
+                revision: self.revision,
+                since_ms: self.clock_ms,
+                by_operator: false,
+                failed_recoveries: 0,
+            };
+            self.sites.entry(SiteId(site)).or_insert(new);
+        }
+        Ok(())
+    }
+
+    fn advance_clock(&mut self, at_ms: u64) -> u64 {
+        self.clock_ms = self.clock_ms.max(at_ms);
+        self.clock_ms
     }
 
-    fn change(&mut self, site: SiteId, to: Standing, at: u64) {
-        let at = self.clock(at);
-        let ceiling = self.ceiling;
-        self.number += 1;
-        let number = self.number;
-        let Some(entry) = self.entries.get_mut(&site) else { return };
-        if to == Standing::Lost {
-            // A loss on the way back, or soon after it, costs patience; one after a long time begins anew.
-            let soon = at.saturating_sub(entry.since) < SOON * ceiling;
-            entry.failed = match entry.standing {
-                Standing::Lost => entry.failed,
-                Standing::Present if entry.number == 0 || !soon => 0,
-                _ => entry.failed.saturating_add(1),
+    fn set_phase(&mut self, site: SiteId, to: RecoveryPhase, at_ms: u64) {
+        let at_ms = self.advance_clock(at_ms);
+        self.revision += 1;
+        let Some(entry) = self.sites.get_mut(&site) else { return };
+        if to == RecoveryPhase::Lost {
+            // A loss during a recovery, or soon after it, costs patience; one after a long time begins anew.
+            let is_relapse = at_ms.saturating_sub(entry.since_ms) < RELAPSE_PATIENCES * self.max_patience_ms;
+            entry.failed_recoveries = match entry.phase {
+                RecoveryPhase::Lost => entry.failed_recoveries,
+                RecoveryPhase::Serving if entry.revision == 0 || !is_relapse => 0,
+                _ => entry.failed_recoveries.saturating_add(1),
             };
         }
-        (entry.standing, entry.number, entry.since) = (to, number, at);
+        entry.phase = to;
+        entry.revision = self.revision;
+        entry.since_ms = at_ms;
     }
 
-    fn say(&mut self, by: SiteId, words: &[(SiteId, Word)], at: u64) -> Result<(), Refused> {
-        if !self.entries.contains_key(&by) {
-            return Err(Refused::Unknown(by));
+    fn report_opinions(
+        &mut self,
+        by: SiteId,
+        opinions: &[(SiteId, SiteOpinion)],
+        at_ms: u64,
+    ) -> Result<(), CommandRejected> {
+        if !self.sites.contains_key(&by) {
+            return Err(CommandRejected::UnknownSite(by));
         }
-        if words.len() > SITES {
-            return Err(Refused::TooMany);
+        if opinions.len() > MAX_SITES {
+            return Err(CommandRejected::LimitExceeded);
         }
-        let at = self.clock(at);
-        let known = |site: &SiteId| self.entries.contains_key(site) && *site != by;
-        let said: BTreeMap<SiteId, Word> = words.iter().copied().filter(|(site, _)| known(site)).collect();
-        self.words.retain(|(speaker, of), _| *speaker != by || said.contains_key(of));
-        for (of, word) in said {
-            let held = self.words.get(&(by, of)).and_then(|(_, since)| *since);
-            let since = word.says_lost().then(|| held.unwrap_or(at));
-            self.words.insert((by, of), (word, since));
+        let at_ms = self.advance_clock(at_ms);
+        let is_known = |site: &SiteId| self.sites.contains_key(site) && *site != by;
+        let reported: BTreeMap<SiteId, SiteOpinion> =
+            opinions.iter().copied().filter(|(site, _)| is_known(site)).collect();
+        self.opinions.retain(|(speaker, of), _| *speaker != by || reported.contains_key(of));
+        for (of, opinion) in reported {
+            let held_since = self.opinions.get(&(by, of)).and_then(|held| held.loss_since_ms);
+            let loss_since_ms = opinion.indicates_loss().then(|| held_since.unwrap_or(at_ms));
+            self.opinions.insert((by, of), HeldOpinion { opinion, loss_since_ms });
         }
         Ok(())
     }
 
-    /// Words that say that a site is lost, by sites that are not lost themselves: since when each has been held.
-    fn against(&self, site: SiteId) -> (Vec<u64>, usize) {
-        let speaks =
-            |by: &SiteId| *by != site && self.entries.get(by).is_some_and(|e| e.standing != Standing::Lost);
-        let others = self.entries.keys().filter(|s| speaks(s)).count();
-        let held = self.words.iter().filter(|((by, of), _)| *of == site && speaks(by));
-        (held.filter_map(|(_, (_, since))| *since).collect(), others)
+    /// Opinions that a site is lost, of sites that are not lost themselves.
+    fn opinions_against(&self, site: SiteId) -> OpinionsAgainst {
+        let may_vote = |by: &SiteId| {
+            *by != site && self.sites.get(by).is_some_and(|entry| entry.phase != RecoveryPhase::Lost)
+        };
+        let held = self.opinions.iter().filter(|((by, of), _)| *of == site && may_vote(by));
+        OpinionsAgainst {
+            held_since_ms: held.filter_map(|(_, held)| held.loss_since_ms).collect(),
+            electorate: self.sites.keys().filter(|by| may_vote(by)).count(),
+        }
     }
 
-    fn declare(&mut self, site: SiteId, number: u64, at: u64) -> Result<(), Refused> {
-        let entry = self.entries.get(&site).ok_or(Refused::Unknown(site))?;
-        if entry.number != number || entry.standing == Standing::Lost {
-            return Err(Refused::Changed);
+    fn declare_lost(&mut self, site: SiteId, revision: u64, at_ms: u64) -> Result<(), CommandRejected> {
+        let entry = self.sites.get(&site).ok_or(CommandRejected::UnknownSite(site))?;
+        if entry.revision != revision || entry.phase == RecoveryPhase::Lost {
+            return Err(CommandRejected::StaleRevision);
         }
-        let returning = entry.standing != Standing::Present;
-        let (mut held, others) = self.against(site);
-        let needed = (others / 2 + 1).max(WORDS);
-        if held.len() < needed {
-            return Err(Refused::Words { there: held.len() as u16, needed: needed as u16 });
+        let is_recovering = entry.phase != RecoveryPhase::Serving;
+        let OpinionsAgainst { mut held_since_ms, electorate } = self.opinions_against(site);
+        let needed = (electorate / 2 + 1).max(MIN_OPINIONS);
+        if held_since_ms.len() < needed {
+            let present = held_since_ms.len() as u16;
+            return Err(CommandRejected::TooFewOpinions { present, needed: needed as u16 });
         }
         // Since when as many as are needed have held it.
-        held.sort_unstable();
-        let since = held[needed - 1];
-        let patience = if returning { 0 } else { self.patience(site) };
-        let missing = (since + patience).saturating_sub(self.at.max(at));
-        if missing > 0 {
-            return Err(Refused::Patience(missing));
+        held_since_ms.sort_unstable();
+        let since_ms = held_since_ms[needed - 1];
+        let patience_ms = if is_recovering { 0 } else { self.patience_ms(site) };
+        let missing_ms = (since_ms + patience_ms).saturating_sub(self.clock_ms.max(at_ms));
+        if missing_ms > 0 {
+            return Err(CommandRejected::PatienceNotElapsed(missing_ms));
         }
-        self.change(site, Standing::Lost, at);
+        self.set_phase(site, RecoveryPhase::Lost, at_ms);
         Ok(())
     }
 
-    /// What the leader may propose now: sites against which the words are there and have been held for long enough.
-    pub fn to_declare(&self, at: u64) -> Vec<Command> {
-        let entries = self.entries.iter().filter(|(_, e)| e.standing != Standing::Lost);
-        let commands = entries.map(|(site, e)| Command::Declare { site: *site, number: e.number, at });
-        commands.filter(|command| self.clone().apply(command).is_ok()).collect()
+    fn override_by_operator(&mut self, site: SiteId, lost: bool, at_ms: u64) -> Result<(), CommandRejected> {
+        let entry = self.sites.get(&site).ok_or(CommandRejected::UnknownSite(site))?;
+        let to = if lost { RecoveryPhase::Lost } else { entry.phase };
+        self.set_phase(site, to, at_ms);
+        if let Some(entry) = self.sites.get_mut(&site) {
+            entry.by_operator = lost;
+        }
+        Ok(())
     }
 
-    pub fn word(&self, by: SiteId, of: SiteId) -> Word {
-        self.words.get(&(by, of)).map_or(Word::FINE, |(word, _)| *word)
+    fn advance_recovery(
+        &mut self,
+        site: SiteId,
+        revision: u64,
+        to: RecoveryPhase,
+        at_ms: u64,
+    ) -> Result<(), CommandRejected> {
+        let entry = self.sites.get(&site).ok_or(CommandRejected::UnknownSite(site))?;
+        if entry.revision != revision {
+            return Err(CommandRejected::StaleRevision);
+        }
+        if entry.by_operator {
+            return Err(CommandRejected::DeclaredByOperator);
+        }
+        if entry.phase.next() != Some(to) {
+            return Err(CommandRejected::NotNextPhase);
+        }
+        self.set_phase(site, to, at_ms);
+        Ok(())
+    }
+
+    /// What the leader may propose now: losses for which the opinions are there and have been held for long enough.
+    pub fn declarable_losses(&self, at_ms: u64) -> Vec<SiteCommand> {
+        let candidates = self.sites.iter().filter(|(_, entry)| entry.phase != RecoveryPhase::Lost);
+        let commands = candidates.map(|(site, entry)| SiteCommand::DeclareLost {
+            site: *site,
+            revision: entry.revision,
+            at_ms,
+        });
+        commands.filter(|command| self.clone().apply(command).is_ok()).collect()
     }
 }
--- a/core/sites/tests/conductor.rs
+++ b/core/sites/tests/coordinator.rs
@@ -4,24 +4,28 @@
 use std::collections::BTreeMap;
 
 use elmtide_budgets::{FrontId, HolderId, Incarnation};
-use elmtide_sites::conductor::Now;
-use elmtide_sites::watch::Looks;
-use elmtide_sites::{Command, Conductor, Rules, Said, SiteId, Standing, State, Word};
+use elmtide_sites::CoordinatorInput;
+use elmtide_sites::Reachability;
+use elmtide_sites::{
+    FailoverCoordinator, FailoverSettings, RecoveryPhase, SiteCommand, SiteId, SiteOpinion, SiteReport,
+    SiteState,
+};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-const SILENT: Word = Word { fronts: Looks::Silent, boxes: Looks::Silent };
-const CUT: Word = Word { fronts: Looks::Silent, boxes: Looks::Heard };
+const SILENT: SiteOpinion =
+    SiteOpinion { fronts: Reachability::Unreachable, caches: Reachability::Unreachable };
+const CUT: SiteOpinion = SiteOpinion { fronts: Reachability::Unreachable, caches: Reachability::Reachable };
 const MS: u64 = 1000;
 const LEASE: u64 = 1000 * MS;
 
 /// Three sites of two fronts, or as many as are wanted.
 struct World {
-    state: State,
-    leader: Conductor,
-    rules: Rules,
+    state: SiteState,
+    leader: FailoverCoordinator,
+    rules: FailoverSettings,
     /// What each front says; none of one that is not heard.
-    fronts: Vec<Option<Said>>,
+    fronts: Vec<Option<SiteReport>>,
     ms: u64,
 }
 
@@ -29,24 +33,35 @@
     fn new(sites: u16, each: u16) -> World {
         let count = sites * each;
         let fronts = (0..count).map(|f| (FrontId(u64::from(f)), SiteId(f % sites))).collect();
-        let rules = Rules { sites, patience: 500, ceiling: 4000, pace: 300, fronts };
-        let mut state = State::default();
-        let layout = Command::Layout { version: 1, sites, patience: rules.patience, ceiling: rules.ceiling };
+        let rules = FailoverSettings {
+            sites,
+            patience_ms: 500,
+            max_patience_ms: 4000,
+            min_phase_ms: 300,
+            site_of_front: fronts,
+        };
+        let mut state = SiteState::default();
+        let layout = SiteCommand::UpdateSites {
+            version: 1,
+            sites,
+            patience_ms: rules.patience_ms,
+            max_patience_ms: rules.max_patience_ms,
+        };
         state.apply(&layout).unwrap();
-        let said = Said { caught_up: true, warm: true, ..Said::default() };
+        let said = SiteReport { has_caught_up: true, caches_warm: true, ..SiteReport::default() };
         let fronts = vec![Some(said); usize::from(count)];
-        World { state, leader: Conductor::default(), rules, fronts, ms: 10_000 }
+        World { state, leader: FailoverCoordinator::default(), rules, fronts, ms: 10_000 }
     }
 
     fn of(&self, site: u16) -> Vec<usize> {
         (0..self.fronts.len()).filter(|f| *f as u16 % self.rules.sites == site).collect()
     }
 
-    fn says(&mut self, by: u16, of: u16, word: Word) {
+    fn says(&mut self, by: u16, of: u16, word: SiteOpinion) {
         for front in self.of(by) {
             if let Some(said) = &mut self.fronts[front] {
-                said.words.retain(|(site, _)| *site != SiteId(of));
-                said.words.extend((word != Word::FINE).then_some((SiteId(of), word)));
+                said.opinions.retain(|(site, _)| *site != SiteId(of));
+                said.opinions.extend((word != SiteOpinion::HEALTHY).then_some((SiteId(of), word)));
             }
         }
     }
@@ -55,23 +70,23 @@
     fn turns(&mut self, turns: usize) {
         for _ in 0..turns {
             self.ms += 50;
-            let number = self.state.number();
+            let number = self.state.revision();
             for (front, said) in self.fronts.iter_mut().enumerate() {
                 let holder = HolderId { front: FrontId(front as u64), incarnation: Incarnation(1) };
                 if let Some(said) = said {
-                    said.seen = Some(number);
-                    self.leader.on_said(holder, said.clone(), self.ms * MS);
+                    said.view_revision = Some(number);
+                    self.leader.on_report(holder, said.clone(), self.ms * MS);
                 }
             }
-            let now = Now { steady: self.ms * MS, wall: self.ms, lease: LEASE };
+            let now = CoordinatorInput { monotonic: self.ms * MS, wall_ms: self.ms, lease: LEASE };
             for command in self.leader.propose(&self.state, &self.rules, &now) {
                 let _ = self.state.apply(&command);
             }
         }
     }
 
-    fn standing(&self, site: u16) -> Standing {
-        self.state.entries()[&SiteId(site)].standing
+    fn standing(&self, site: u16) -> RecoveryPhase {
+        self.state.sites()[&SiteId(site)].phase
     }
 
     fn silence(&mut self, site: u16) {
@@ -82,7 +97,8 @@
 
     fn back(&mut self, site: u16) {
         for front in self.of(site) {
-            self.fronts[front] = Some(Said { caught_up: true, warm: true, ..Said::default() });
+            self.fronts[front] =
+                Some(SiteReport { has_caught_up: true, caches_warm: true, ..SiteReport::default() });
         }
     }
 }
@@ -93,16 +109,16 @@
     world.silence(0);
     world.says(1, 0, SILENT);
     world.turns(40);
-    assert_eq!(world.standing(0), Standing::Present, "one site's word is none");
+    assert_eq!(world.standing(0), RecoveryPhase::Serving, "one site's word is none");
     world.says(2, 0, CUT);
     world.turns(40);
-    assert_eq!(world.standing(0), Standing::Present, "its boxes answer the other one");
+    assert_eq!(world.standing(0), RecoveryPhase::Serving, "its boxes answer the other one");
     world.says(2, 0, SILENT);
     world.turns(5);
-    assert_eq!(world.standing(0), Standing::Present, "not held for long enough");
+    assert_eq!(world.standing(0), RecoveryPhase::Serving, "not held for long enough");
     world.turns(8);
-    assert_eq!(world.standing(0), Standing::Lost);
-    assert_eq!([1, 2].map(|s| world.standing(s)), [Standing::Present; 2]);
+    assert_eq!(world.standing(0), RecoveryPhase::Lost);
+    assert_eq!([1, 2].map(|s| world.standing(s)), [RecoveryPhase::Serving; 2]);
 }
 
 #[test]
@@ -111,9 +127,9 @@
     world.says(1, 0, SILENT);
     // Of the third site one front alone says so.
     let liar = world.of(2)[0];
-    world.fronts[liar].as_mut().unwrap().words = vec![(SiteId(0), SILENT)];
+    world.fronts[liar].as_mut().unwrap().opinions = vec![(SiteId(0), SILENT)];
     world.turns(60);
-    assert_eq!(world.standing(0), Standing::Present);
+    assert_eq!(world.standing(0), RecoveryPhase::Serving);
 }
 
 #[test]
@@ -126,7 +142,7 @@
     world.silence(1);
     world.silence(2);
     world.turns(60);
-    assert_eq!(world.standing(0), Standing::Present);
+    assert_eq!(world.standing(0), RecoveryPhase::Serving);
 }
 
 /// Each step waits for what it rests on, and for its pace; a second loss goes back in one.
@@ -136,39 +152,47 @@
     world.silence(0);
     [1, 2].into_iter().for_each(|by| world.says(by, 0, SILENT));
     world.turns(30);
-    assert_eq!(world.standing(0), Standing::Lost);
-    [1, 2].into_iter().for_each(|by| world.says(by, 0, Word::FINE));
+    assert_eq!(world.standing(0), RecoveryPhase::Lost);
+    [1, 2].into_iter().for_each(|by| world.says(by, 0, SiteOpinion::HEALTHY));
     world.turns(20);
-    assert_eq!(world.standing(0), Standing::Lost, "its fronts are not heard");
+    assert_eq!(world.standing(0), RecoveryPhase::Lost, "its fronts are not heard");
     world.back(0);
     let fronts = world.of(0);
-    let set = |world: &mut World, change: &dyn Fn(&mut Said)| {
+    let set = |world: &mut World, change: &dyn Fn(&mut SiteReport)| {
         fronts.iter().for_each(|f| change(world.fronts[*f].as_mut().unwrap()));
     };
-    set(&mut world, &|s| s.caught_up = false);
+    set(&mut world, &|s| s.has_caught_up = false);
     world.turns(30);
-    assert_eq!(world.standing(0), Standing::Contact, "it has not heard what it missed");
-    set(&mut world, &|s| (s.caught_up, s.warm) = (true, false));
+    assert_eq!(world.standing(0), RecoveryPhase::InContact, "it has not heard what it missed");
+    set(&mut world, &|s| (s.has_caught_up, s.caches_warm) = (true, false));
     world.turns(30);
-    assert_eq!(world.standing(0), Standing::CaughtUp, "its boxes are cold");
-    set(&mut world, &|s| (s.warm, s.strained) = (true, true));
+    assert_eq!(world.standing(0), RecoveryPhase::CaughtUp, "its boxes are cold");
+    set(&mut world, &|s| (s.caches_warm, s.is_overloaded) = (true, true));
     world.turns(30);
-    assert_eq!(world.standing(0), Standing::Warm, "it is strained");
-    set(&mut world, &|s| s.strained = false);
+    assert_eq!(world.standing(0), RecoveryPhase::WarmedUp, "it is strained");
+    set(&mut world, &|s| s.is_overloaded = false);
     let mut seen = vec![world.standing(0)];
     for _ in 0..40 {
         world.turns(1);
         seen.push(world.standing(0));
     }
     seen.dedup();
-    assert_eq!(seen, [Standing::Warm, Standing::Quarter, Standing::Half, Standing::Present]);
+    assert_eq!(
+        seen,
+        [
+            RecoveryPhase::WarmedUp,
+            RecoveryPhase::QuarterTraffic,
+            RecoveryPhase::HalfTraffic,
+            RecoveryPhase::Serving
+        ]
+    );
     // Lost again at half: in one step, and the next time with more patience.
-    let before = world.state.patience(SiteId(0));
+    let before = world.state.patience_ms(SiteId(0));
     world.silence(0);
     [1, 2].into_iter().for_each(|by| world.says(by, 0, SILENT));
     world.turns(60);
-    assert_eq!(world.standing(0), Standing::Lost);
-    assert!(world.state.patience(SiteId(0)) > before);
+    assert_eq!(world.standing(0), RecoveryPhase::Lost);
+    assert!(world.state.patience_ms(SiteId(0)) > before);
 }
 
 /// What must hold whatever happens, looked at after each command: a standing rises by one step at a time, and falls to lost only; and
@@ -193,39 +217,44 @@
                         world.back(site);
                     }
                 }
-                2 => world.leader = Conductor::default(),
+                2 => world.leader = FailoverCoordinator::default(),
                 // A liar, or a looker whose link is cut: one site's word against all.
-                3 => (0..sites)
-                    .for_each(|of| world.says(site, of, if of == site { Word::FINE } else { SILENT })),
-                4 => (0..sites).for_each(|of| world.says(site, of, Word::FINE)),
+                3 => (0..sites).for_each(|of| {
+                    world.says(site, of, if of == site { SiteOpinion::HEALTHY } else { SILENT })
+                }),
+                4 => (0..sites).for_each(|of| world.says(site, of, SiteOpinion::HEALTHY)),
                 _ => {
                     let front = random.random_range(0..world.fronts.len());
                     if let Some(said) = &mut world.fronts[front] {
-                        said.strained = random.random();
+                        said.is_overloaded = random.random();
                     }
                 }
             }
             let liars: Vec<u16> = (0..sites)
                 .filter(|s| {
-                    world.of(*s).iter().any(|f| world.fronts[*f].as_ref().is_some_and(|s| s.words.len() > 1))
+                    world
+                        .of(*s)
+                        .iter()
+                        .any(|f| world.fronts[*f].as_ref().is_some_and(|s| s.opinions.len() > 1))
                 })
                 .collect();
             for by in (0..sites).filter(|by| !lost.contains_key(by) && !liars.contains(by)) {
                 for of in (0..sites).filter(|of| *of != by) {
-                    world.says(by, of, if lost.contains_key(&of) { SILENT } else { Word::FINE });
+                    world.says(by, of, if lost.contains_key(&of) { SILENT } else { SiteOpinion::HEALTHY });
                 }
             }
             for _ in 0..10 {
-                let before: Vec<Standing> = (0..sites).map(|s| world.standing(s)).collect();
+                let before: Vec<RecoveryPhase> = (0..sites).map(|s| world.standing(s)).collect();
                 world.turns(1);
                 for of in 0..sites {
                     let (was, is) = (before[usize::from(of)], world.standing(of));
-                    let step = is == was || is == Standing::Lost || was.next() == Some(is);
+                    let step = is == was || is == RecoveryPhase::Lost || was.next() == Some(is);
                     assert!(step, "seed {seed}: site {of} went from {was:?} to {is:?}");
                     // Of one liar or two among others that hear it.
-                    let against = (0..sites)
-                        .filter(|by| *by != of && world.state.word(SiteId(*by), SiteId(of)).says_lost());
-                    let declared = is == Standing::Lost && was != Standing::Lost;
+                    let against = (0..sites).filter(|by| {
+                        *by != of && world.state.opinion(SiteId(*by), SiteId(of)).indicates_loss()
+                    });
+                    let declared = is == RecoveryPhase::Lost && was != RecoveryPhase::Lost;
                     assert!(
                         !declared || against.count() >= 2,
                         "seed {seed}: site {of} declared without words"
@@ -236,7 +265,7 @@
         // All are there, heard and calm: every return ends.
         (0..sites).for_each(|s| world.back(s));
         world.turns(200);
-        assert!((0..sites).all(|s| world.standing(s) == Standing::Present), "seed {seed}");
+        assert!((0..sites).all(|s| world.standing(s) == RecoveryPhase::Serving), "seed {seed}");
     }
 }
 
@@ -246,5 +275,9 @@
     let mut world = World::new(3, 1);
     [1, 2].into_iter().for_each(|by| world.says(by, 0, SILENT));
     world.turns(60);
-    assert_eq!(world.standing(0), Standing::Lost, "two sites of three that both hear nothing are believed");
+    assert_eq!(
+        world.standing(0),
+        RecoveryPhase::Lost,
+        "two sites of three that both hear nothing are believed"
+    );
 }
--- a/core/sites/tests/plan.rs
+++ b/core/sites/tests/failover_plan.rs
@@ -1,15 +1,27 @@
 //! The plan for a loss: within all bounds, most worth first, signups whole or an error, stable when a number changes a little.
 
-use elmtide_sites::plan::{one_more_box, tightest};
-use elmtide_sites::{plan, Bound, Class, Layout, Loss, NoPlan, Plan, Site};
+use elmtide_sites::failover_plan::{expansion_gains, tightest_bottleneck, Bottleneck, DisplacedLoad};
+use elmtide_sites::{plan, BindingConstraint, Class, FailoverPlan, Layout, Loss, PlanError, SiteCapacity};
 use proptest::prelude::*;
 
 fn class(name: &str, worth: f64, must: bool) -> Class {
-    Class { name: name.into(), worth, work: 1.0, misses: 0.2, must }
+    Class {
+        name: name.into(),
+        priority_weight: worth,
+        work: 1.0,
+        fills_per_request: 0.2,
+        must_be_served: must,
+    }
 }
 
-fn site(name: &str, room: f64, load: &[f64], links: &[f64]) -> Site {
-    Site { name: name.into(), room, a_box: room / 4.0, load: load.to_vec(), links: links.to_vec() }
+fn site(name: &str, room: f64, load: &[f64], links: &[f64]) -> SiteCapacity {
+    SiteCapacity {
+        name: name.into(),
+        capacity: room,
+        capacity_per_cache: room / 4.0,
+        load: load.to_vec(),
+        link_capacity: links.to_vec(),
+    }
 }
 
 /// Three branches and two hubs; signups and files.
@@ -19,9 +31,9 @@
         classes: vec![class("signup", 20.0, true), class("files", 1.0, false)],
         branches: vec![branch("a", &[5.0, 60.0]), branch("b", &[5.0, 50.0]), branch("c", &[2.0, 40.0])],
         hubs: vec![site("east", 60.0, &[], &[]), site("west", 60.0, &[], &[])],
-        to_origin: 0.5,
-        origin: 40.0,
-        own_loss: 0.02,
+        origin_fraction: 0.5,
+        origin_capacity: 40.0,
+        max_own_loss: 0.02,
     }
 }
 
@@ -30,7 +42,7 @@
 }
 
 /// All bounds, reckoned anew from the plan.
-fn check(layout: &Layout, loss: &Loss, plan: &Plan) -> Result<(), String> {
+fn check(layout: &Layout, loss: &Loss, plan: &FailoverPlan) -> Result<(), String> {
     let near = |x: f64, most: f64, what: &str| match x <= most * (1.0 + 1e-6) + 1e-5 {
         true => Ok(()),
         false => Err(format!("{what}: {x} of {most}")),
@@ -44,22 +56,26 @@
             return Err(format!("{} is lost and serves {served:?}", branch.name));
         }
         let work: f64 = served.iter().zip(&layout.classes).map(|(s, c)| s * c.work).sum();
-        near(work, branch.room, &format!("room of {}", branch.name))?;
-        let misses: f64 = served.iter().zip(&layout.classes).map(|(s, c)| s * c.misses).sum();
+        near(work, branch.capacity, &format!("room of {}", branch.name))?;
+        let misses: f64 = served.iter().zip(&layout.classes).map(|(s, c)| s * c.fills_per_request).sum();
         let fills: f64 = plan.fills[at].iter().sum();
         near((misses - fills).abs(), 0.0, &format!("fills of {}", branch.name))?;
         for (hub, fills) in plan.fills[at].iter().enumerate() {
-            near(*fills, branch.links[hub], "a link")?;
+            near(*fills, branch.link_capacity[hub], "a link")?;
             if loss.hubs.contains(&hub) && *fills > 0.0 {
                 return Err("fills through a lost hub".into());
             }
         }
     }
     for (hub, site) in layout.hubs.iter().enumerate() {
-        near(plan.fills.iter().map(|f| f[hub]).sum(), site.room, "a hub")?;
+        near(plan.fills.iter().map(|f| f[hub]).sum(), site.capacity, "a hub")?;
     }
-    near(plan.fills.iter().flatten().sum::<f64>() * layout.to_origin, layout.origin, "the origin")?;
-    let of_lost = |m: &elmtide_sites::Move| loss.branches.contains(&m.from) && !loss.branches.contains(&m.to);
+    near(
+        plan.fills.iter().flatten().sum::<f64>() * layout.origin_fraction,
+        layout.origin_capacity,
+        "the origin",
+    )?;
+    let of_lost = |m: &DisplacedLoad| loss.branches.contains(&m.from) && !loss.branches.contains(&m.to);
     plan.moves.iter().all(of_lost).then_some(()).ok_or("a move that is none of a lost branch".to_owned())
 }
 
@@ -73,37 +89,37 @@
     assert!((moved(0) - 5.0).abs() < 1e-4, "all signups: {plan:?}");
     // What is left of both rooms: 45 and 58, of which the signups take 5; all 60 files fit.
     assert!((moved(1) - 60.0).abs() < 1e-3, "{plan:?}");
-    assert!(plan.refused.is_empty(), "{plan:?}");
+    assert!(plan.rejected.is_empty(), "{plan:?}");
 }
 
 #[test]
 fn where_it_does_not_fit_the_least_worth_is_refused_and_own_clients_keep_theirs() {
     let mut layout = three();
-    layout.branches[1].room = 60.0;
-    layout.branches[2].room = 60.0;
+    layout.branches[1].capacity = 60.0;
+    layout.branches[2].capacity = 60.0;
     let loss = lost(&[0], &[]);
     let plan = plan(&layout, &loss, None).unwrap();
     check(&layout, &loss, &plan).unwrap();
-    assert!(plan.refused.iter().all(|(_, class, _)| *class == 1), "{:?}", plan.refused);
+    assert!(plan.rejected.iter().all(|rejected| rejected.class == 1), "{:?}", plan.rejected);
     for at in [1, 2] {
         for class in 0..2 {
             assert!(plan.own[at][class] >= 0.98 * layout.branches[at].load[class] - 1e-5, "{:?}", plan.own);
         }
     }
-    let (bound, gain) = tightest(&layout, &loss).unwrap().unwrap();
-    assert!(matches!(bound, Bound::Room(_)) && gain > 0.0, "{bound:?} {gain}");
-    let boxes = one_more_box(&layout, &loss).unwrap();
-    assert!(boxes.iter().all(|(_, gain)| (*gain - 25.0).abs() < 1e-3), "{boxes:?}");
+    let Bottleneck { constraint: bound, gain } = tightest_bottleneck(&layout, &loss).unwrap().unwrap();
+    assert!(matches!(bound, BindingConstraint::Branch(_)) && gain > 0.0, "{bound:?} {gain}");
+    let boxes = expansion_gains(&layout, &loss).unwrap();
+    assert!(boxes.iter().all(|at| (at.gain - 25.0).abs() < 1e-3), "{boxes:?}");
 }
 
 #[test]
 fn signups_that_can_not_all_be_served_are_an_error_before_the_day() {
     let mut layout = three();
     layout.branches[0].load = vec![120.0, 60.0];
-    layout.branches[0].room = 200.0;
+    layout.branches[0].capacity = 200.0;
     let said = plan(&layout, &lost(&[0], &[]), None).unwrap_err();
     // 45 and 58 are free, and 2 parts of 100 of the files that are there.
-    let NoPlan::Must { class: 0, short, plan } = said else { panic!("{said}") };
+    let PlanError::MustServe { class: 0, missing_rate: short, plan } = said else { panic!("{said}") };
     assert!((short - (120.0 - 103.0 - 0.02 * 90.0)).abs() < 1e-3, "{short}");
     check(&layout, &lost(&[0], &[]), &plan).unwrap();
 }
@@ -112,12 +128,12 @@
 #[test]
 fn a_hubs_room_binds_and_the_plan_goes_round_it() {
     let mut layout = three();
-    layout.classes[1].misses = 0.5;
-    layout.branches[1].links = vec![60.0, 0.0];
-    layout.branches[2].links = vec![60.0, 60.0];
-    layout.hubs[0].room = 30.0;
-    layout.hubs[1].room = 30.0;
-    layout.origin = 100.0;
+    layout.classes[1].fills_per_request = 0.5;
+    layout.branches[1].link_capacity = vec![60.0, 0.0];
+    layout.branches[2].link_capacity = vec![60.0, 60.0];
+    layout.hubs[0].capacity = 30.0;
+    layout.hubs[1].capacity = 30.0;
+    layout.origin_capacity = 100.0;
     let loss = lost(&[0], &[]);
     let plan = plan(&layout, &loss, None).unwrap();
     check(&layout, &loss, &plan).unwrap();
@@ -128,7 +144,7 @@
 #[test]
 fn a_lost_hub_is_filled_round() {
     let mut layout = three();
-    layout.branches.iter_mut().for_each(|b| b.links = vec![30.0, 30.0]);
+    layout.branches.iter_mut().for_each(|b| b.link_capacity = vec![30.0, 30.0]);
     let loss = lost(&[], &[0]);
     let plan = plan(&layout, &loss, None).unwrap();
     check(&layout, &loss, &plan).unwrap();
@@ -143,10 +159,10 @@
     let first = plan(&layout, &loss, None).unwrap();
     let mut other = layout.clone();
     other.branches[1].load[1] = 50.5;
-    other.branches[2].room = 101.0;
+    other.branches[2].capacity = 101.0;
     let second = plan(&other, &loss, Some(&first)).unwrap();
     check(&other, &loss, &second).unwrap();
-    let rate = |p: &Plan, from, to, class| {
+    let rate = |p: &FailoverPlan, from, to, class| {
         p.moves.iter().filter(|m| (m.from, m.to, m.class) == (from, to, class)).map(|m| m.rate).sum::<f64>()
     };
     let changed: f64 = (1..3)
@@ -159,16 +175,22 @@
 #[test]
 fn figures_that_are_none_are_refused() {
     for spoil in [
-        |l: &mut Layout| l.origin = f64::NAN,
-        |l: &mut Layout| l.branches[0].room = -1.0,
-        |l: &mut Layout| l.own_loss = 2.0,
+        |l: &mut Layout| l.origin_capacity = f64::NAN,
+        |l: &mut Layout| l.branches[0].capacity = -1.0,
+        |l: &mut Layout| l.max_own_loss = 2.0,
         |l: &mut Layout| l.branches[1].load.truncate(1),
-        |l: &mut Layout| l.branches[1].links.truncate(1),
-        |l: &mut Layout| l.classes[0].worth = f64::INFINITY,
+        |l: &mut Layout| l.branches[1].link_capacity.truncate(1),
+        |l: &mut Layout| l.classes[0].priority_weight = f64::INFINITY,
     ] {
         let mut layout = three();
         spoil(&mut layout);
-        assert!(matches!(plan(&layout, &Loss::default(), None), Err(NoPlan::Unsound(_))));
+        assert!(matches!(
+            plan(&layout, &Loss::default(), None),
+            Err(PlanError::InvalidOrigin
+                | PlanError::InvalidClass { .. }
+                | PlanError::InvalidSite { .. }
+                | PlanError::IncompleteSite { .. })
+        ));
     }
 }
 
@@ -187,9 +209,9 @@
                 })
                 .collect(),
             hubs: vec![site("east", east, &[], &[]), site("west", west, &[], &[])],
-            to_origin: 0.5,
-            origin,
-            own_loss: 0.02,
+            origin_fraction: 0.5,
+            origin_capacity: origin,
+            max_own_loss: 0.02,
         },
     )
 }
@@ -201,10 +223,10 @@
     fn bounds_hold_for_every_loss(layout in layout()) {
         let usual = plan(&layout, &Loss::default(), None).map_err(|e| TestCaseError::fail(e.to_string()))?;
         check(&layout, &Loss::default(), &usual).map_err(TestCaseError::fail)?;
-        for loss in layout.losses() {
+        for loss in layout.single_losses() {
             let plan = plan(&layout, &loss, None).map_err(|e| TestCaseError::fail(e.to_string()))?;
             check(&layout, &loss, &plan).map_err(TestCaseError::fail)?;
-            prop_assert!(plan.worth <= usual.worth * (1.0 + 1e-6) + 1e-3 || !loss.branches.is_empty());
+            prop_assert!(plan.value <= usual.value * (1.0 + 1e-6) + 1e-3 || !loss.branches.is_empty());
             if loss.hubs.is_empty() {
                 for at in (0..layout.branches.len()).filter(|b| !loss.branches.contains(b)) {
                     for class in 0..layout.classes.len() {
--- a/core/sites/tests/direct.rs
+++ b/core/sites/tests/routing.rs
@@ -1,25 +1,30 @@
 //! Where clients go: the parts that the plan has, the same client always the same way, those at home staying there while others return.
 
-use elmtide_sites::{plan, Class, Directions, Layout, Loss, Site};
+use elmtide_sites::{plan, Class, FailoverRouting, Layout, Loss, SiteCapacity};
 use proptest::prelude::*;
 
 fn layout(rooms: &[f64], loads: &[f64]) -> Layout {
-    let class =
-        |name: &str, worth: f64, must| Class { name: name.into(), worth, work: 1.0, misses: 0.0, must };
-    let branch = |(n, (room, load)): (usize, (&f64, &f64))| Site {
+    let class = |name: &str, worth: f64, must| Class {
+        name: name.into(),
+        priority_weight: worth,
+        work: 1.0,
+        fills_per_request: 0.0,
+        must_be_served: must,
+    };
+    let branch = |(n, (room, load)): (usize, (&f64, &f64))| SiteCapacity {
         name: format!("s{n}"),
-        room: *room,
-        a_box: 0.0,
+        capacity: *room,
+        capacity_per_cache: 0.0,
         load: vec![1.0, *load],
-        links: Vec::new(),
+        link_capacity: Vec::new(),
     };
     Layout {
         classes: vec![class("signup", 20.0, true), class("files", 1.0, false)],
         branches: rooms.iter().zip(loads).enumerate().map(branch).collect(),
         hubs: Vec::new(),
-        to_origin: 1.0,
-        origin: 100.0,
-        own_loss: 0.02,
+        origin_fraction: 1.0,
+        origin_capacity: 100.0,
+        max_own_loss: 0.02,
     }
 }
 
@@ -45,7 +50,7 @@
         let Ok(planned) = plan(&layout, &lost(0), None) else { return Ok(()) };
         let mut homes = vec![1.0; rooms.len()];
         homes[0] = home;
-        let directions = Directions::of(&layout, &planned, &homes);
+        let directions = FailoverRouting::new(&layout, &planned, &homes);
         let moved: f64 = planned.moves.iter().map(|m| m.rate).sum();
         let mut counts = vec![0.0; rooms.len()];
         for drawn in draws() {
@@ -64,10 +69,10 @@
         }
         // What must be served is refused to nobody, and takers are not asked for more than was planned for them.
         for drawn in draws().step_by(50) {
-            prop_assert!(!directions.refuses(0, 1, 0, drawn));
+            prop_assert!(!directions.rejects(0, 1, 0, drawn));
         }
         for class in 0..2 {
-            let served = draws().filter(|d| !directions.refuses(0, 1, class, *d)).count() as f64 / DRAWS as f64;
+            let served = draws().filter(|d| !directions.rejects(0, 1, class, *d)).count() as f64 / DRAWS as f64;
             let taken: f64 = planned.moves.iter().filter(|m| m.class == class).map(|m| m.rate).sum();
             let rate = layout.branches[0].load[class] * (1.0 - home) * served;
             prop_assert!(rate <= taken * 1.01 + 0.1, "class {}: {} asked of takers, {} planned", class, rate, taken);
@@ -81,7 +86,7 @@
         let planned = plan(&layout, &lost(0), None).unwrap();
         let mut was_home = false;
         for home in [0.0, 0.25, 0.5, 1.0] {
-            let at = Directions::of(&layout, &planned, &[home, 1.0, 1.0]).branch(0, drawn);
+            let at = FailoverRouting::new(&layout, &planned, &[home, 1.0, 1.0]).branch(0, drawn);
             prop_assert!(!was_home || at == Some(0));
             was_home = at == Some(0);
         }
@@ -94,10 +99,10 @@
     // 90 are lost, the others have room for 40.
     let layout = layout(&[100.0, 50.0, 50.0], &[89.0, 29.0, 29.0]);
     let planned = plan(&layout, &lost(0), None).unwrap();
-    let directions = Directions::of(&layout, &planned, &[0.0, 1.0, 1.0]);
-    let refused = draws().filter(|d| directions.refuses(0, 1, 1, *d)).count() as f64 / DRAWS as f64;
+    let directions = FailoverRouting::new(&layout, &planned, &[0.0, 1.0, 1.0]);
+    let refused = draws().filter(|d| directions.rejects(0, 1, 1, *d)).count() as f64 / DRAWS as f64;
     let planned: f64 =
-        planned.refused.iter().filter(|(b, c, _)| (*b, *c) == (0, 1)).map(|(.., r)| r / 89.0).sum();
+        planned.rejected.iter().filter(|r| (r.branch, r.class) == (0, 1)).map(|r| r.rate / 89.0).sum();
     assert!((refused - planned).abs() < 0.01 && refused > 0.4, "{refused}, {planned} planned");
-    assert!(draws().all(|d| !directions.refuses(0, 2, 0, d)), "signups are served");
+    assert!(draws().all(|d| !directions.rejects(0, 2, 0, d)), "signups are served");
 }
--- a/front/src/fleet/config.rs
+++ b/front/src/fleet/config.rs
@@ -14,7 +14,7 @@
 use elmtide_cells::ShopId;
 use elmtide_fleet::{FleetSettings, FrontSettings, MaintenanceSettings};
 use elmtide_maintenance::{DisruptionBudget, HostedFront, MachineId, MachineSpec, ReturnPolicy};
-use elmtide_sites::{Rules, SiteId};
+use elmtide_sites::{FailoverSettings, SiteId};
 use serde::Deserialize;
 
 /// Where the file is, if nothing else is said.
@@ -467,19 +467,19 @@
     }
 
     /// Sites as all fronts have to agree on them; none without fronts that are of one.
-    fn watched(&self) -> Option<Rules> {
+    fn watched(&self) -> Option<FailoverSettings> {
         let table = self.sites.as_ref()?;
         let fronts: BTreeMap<FrontId, SiteId> = self
             .fronts_of_sites()
             .into_iter()
             .map(|(name, site)| (FrontId::from_name(&name), site))
             .collect();
-        (!fronts.is_empty()).then_some(Rules {
+        (!fronts.is_empty()).then_some(FailoverSettings {
             sites: self.site.len() as u16,
-            patience: table.patience_ms as u64,
-            ceiling: table.ceiling_ms as u64,
-            pace: table.pace_ms as u64,
-            fronts,
+            patience_ms: table.patience_ms as u64,
+            max_patience_ms: table.ceiling_ms as u64,
+            min_phase_ms: table.pace_ms as u64,
+            site_of_front: fronts,
         })
     }
 
@@ -564,9 +564,10 @@
         file.value("machines", &machines);
         file.value("bounds", &bounds);
         let rules = settings.sites.unwrap();
-        let (sites, patience, ceiling, pace) = (rules.sites, rules.patience, rules.ceiling, rules.pace);
+        let (sites, patience, ceiling, pace) =
+            (rules.sites, rules.patience_ms, rules.max_patience_ms, rules.min_phase_ms);
         file.line(&format!("sites {sites} patience {patience} ceiling {ceiling} pace {pace}"));
-        file.value("fronts_of_sites", &rules.fronts);
+        file.value("fronts_of_sites", &rules.site_of_front);
         file.check();
     }
 }
--- a/front/src/fleet/mod.rs
+++ b/front/src/fleet/mod.rs
@@ -6,9 +6,9 @@
 pub mod look;
 pub mod probe;
 pub mod runner;
+pub mod site_failover;
 pub mod sites;
 pub mod spend_log;
-pub mod standing;
 pub mod work;
 
 pub use runner::{start, Started};
--- a/front/src/fleet/probe.rs
+++ b/front/src/fleet/probe.rs
@@ -7,6 +7,7 @@
 use std::time::{Duration, Instant};
 
 use crossbeam_channel::Sender;
+use elmtide_sites::health_monitor::Timeliness;
 use elmtide_sites::SiteId;
 
 use crate::process::spawn;
@@ -17,11 +18,11 @@
 /// Boxes of one site that are asked in one round where the first ones are silent.
 const TRIES: usize = 3;
 
-/// A box of this site has answered; late where it took more than half of the patience.
+/// A cache node of this site has answered; late if it took more than half of the timeout.
 #[derive(Clone, Copy, Debug)]
 pub struct Heard {
     pub site: SiteId,
-    pub late: bool,
+    pub timeliness: Timeliness,
 }
 
 /// Starts asking; `silence` is the time after which a site that was not heard counts as silent.
@@ -43,8 +44,8 @@
         spawn("site-probe", move || loop {
             let began = Instant::now();
             for probed in &mut group {
-                if let Some(late) = probed.ask(patience) {
-                    let _ = heard.try_send(Heard { site: probed.site, late });
+                if let Some(timeliness) = probed.ask(patience) {
+                    let _ = heard.try_send(Heard { site: probed.site, timeliness });
                 }
             }
             std::thread::sleep(every.saturating_sub(began.elapsed()));
@@ -62,11 +63,12 @@
 
 impl Probed {
     /// Whether a box has answered, and late; the next boxes are tried where one has not.
-    fn ask(&mut self, patience: Duration) -> Option<bool> {
+    fn ask(&mut self, patience: Duration) -> Option<Timeliness> {
         for _ in 0..TRIES.min(self.boxes.len()) {
             let began = Instant::now();
             if self.ask_one(patience).is_some() {
-                return Some(began.elapsed() > patience / 2);
+                let is_late = began.elapsed() > patience / 2;
+                return Some(if is_late { Timeliness::Late } else { Timeliness::InTime });
             }
             self.stream = None;
             self.next = (self.next + 1) % self.boxes.len();
--- a/front/src/fleet/runner.rs
+++ b/front/src/fleet/runner.rs
@@ -17,7 +17,7 @@
 };
 use elmtide_maintenance::report::MaintenanceDetails;
 use elmtide_maintenance::{MachineId, MaintenanceExclusions, MaintenanceReport};
-use elmtide_sites::{Rules, SiteId, Standing, Watcher};
+use elmtide_sites::{FailoverSettings, RecoveryPhase, SiteHealthMonitor, SiteId};
 use elmtide_store::Store;
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 
@@ -28,9 +28,9 @@
 use crate::fleet::hooks::Hooks;
 use crate::fleet::look::{self, Shown};
 use crate::fleet::probe;
+use crate::fleet::site_failover::{FailoverConfig, SiteFailover};
 use crate::fleet::sites::{Sites, SitesEntry};
 use crate::fleet::spend_log::SpendLog;
-use crate::fleet::standing::Watched;
 use crate::fleet::work::{self, Names, Reply, Request};
 use crate::fleet_link::{EngineReport, FleetUpdate, OwnSiteState, Waker};
 use crate::memory::counters::Counters;
@@ -111,8 +111,8 @@
 
 /// What this front sees of other sites, and what it was told of all.
 struct Watch {
-    watched: Arc<Watched>,
-    watcher: Watcher,
+    watched: Arc<SiteFailover>,
+    watcher: SiteHealthMonitor,
     of: BTreeMap<FrontId, SiteId>,
     probes: Receiver<probe::Heard>,
     counters: Arc<Counters>,
@@ -124,53 +124,59 @@
     fn start(
         config: &FleetConfig,
         table: &SitesEntry,
-        rules: &Rules,
+        rules: &FailoverSettings,
         name: &str,
         terms: LeaseSettings,
         longest: f64,
         counters: Arc<Counters>,
     ) -> Result<Watch, String> {
         let sites = Sites::of(table, &config.site)?;
-        let (fronts, life) = (config.fronts_of_sites(), longest * LIVES);
-        let watched =
-            Watched::start(sites, fronts, name, terms, life, table.refused_ms).map_err(|e| e.to_string())?;
-        let others = |place: usize| Some(SiteId(place as u16)) != watched.own;
+        let failover = FailoverConfig {
+            sites,
+            fronts: config.fronts_of_sites(),
+            own_name: name.to_owned(),
+            lease: terms,
+            key_lifetime: longest * LIVES,
+            max_wait: table.refused_ms,
+        };
+        let watched = SiteFailover::start(failover).map_err(|e| e.to_string())?;
+        let others = |place: usize| Some(SiteId(place as u16)) != watched.own_site();
         let (heard, probes) = bounded(256);
         let silence = Duration::from_secs_f64(table.silence_ms / 1000.0);
         let boxes = config.site.iter().enumerate().filter(|(place, _)| others(*place));
         let boxes = boxes.map(|(place, s)| (SiteId(place as u16), s.boxes.clone())).collect();
         probe::start(boxes, silence, &heard).map_err(|e| e.to_string())?;
         let others = (0..config.site.len()).filter(|place| others(*place)).map(|p| SiteId(p as u16));
-        let watcher = Watcher::new(silence.as_micros() as u64, others, clock::both().monotonic);
-        let of = rules.fronts.clone();
+        let watcher = SiteHealthMonitor::new(silence.as_micros() as u64, others, clock::both().monotonic);
+        let of = rules.site_of_front.clone();
         Ok(Watch { watched, watcher, of, probes, counters, back_since: None })
     }
 
     /// What is said now.
-    fn said(&mut self, heard: Vec<FrontId>, own: OwnSiteState, now: Clocks) -> elmtide_sites::Said {
+    fn said(&mut self, heard: Vec<FrontId>, own: OwnSiteState, now: Clocks) -> elmtide_sites::SiteReport {
         for front in heard {
             if let Some(site) = self.of.get(&front) {
-                self.watcher.heard_front(*site, front.0, now.monotonic);
+                self.watcher.on_front_heard(*site, front.0, now.monotonic);
             }
         }
         while let Ok(heard) = self.probes.try_recv() {
             // One box is as good as all: which of them are gone is the matter of their own fronts.
-            self.watcher.heard_box(heard.site, 0, heard.late, now.monotonic);
+            self.watcher.on_cache_answered(heard.site, 0, heard.timeliness, now.monotonic);
         }
-        let step = self.watched.now();
-        let view = step.holding.view.as_ref();
-        let standing = self.watched.own.zip(view).map(|(own, view)| view.standing(own));
+        let current = self.watched.current();
+        let view = current.view();
+        let standing = self.watched.own_site().zip(view).map(|(own, view)| view.phase(own));
         self.back_since = match standing {
-            Some(Standing::Lost) | None => None,
+            Some(RecoveryPhase::Lost) | None => None,
             Some(_) => self.back_since.or(Some(now.wall / 1000)),
         };
         let bus = self.counters.bus_heard.load(Relaxed);
-        elmtide_sites::Said {
-            words: self.watcher.words(now.monotonic),
-            seen: view.map(|v| v.number),
-            caught_up: self.back_since.is_some_and(|since| bus > since),
-            warm: own.caches_warm,
-            strained: own.overloaded,
+        elmtide_sites::SiteReport {
+            opinions: self.watcher.opinions(now.monotonic),
+            view_revision: view.map(|v| v.revision),
+            has_caught_up: self.back_since.is_some_and(|since| bus > since),
+            caches_warm: own.caches_warm,
+            is_overloaded: own.overloaded,
         }
     }
 }
@@ -218,7 +224,7 @@
     /// None where no machine goes out for work.
     pub working: Option<Box<Working>>,
     /// None where no sites are watched.
-    pub watched: Option<Arc<Watched>>,
+    pub watched: Option<Arc<SiteFailover>>,
 }
 
 /// Opens the socket and the store, and starts the thread. Gives the engine's side as well. `longest` is the longest deadline in
@@ -487,7 +493,7 @@
                 }
                 Output::ApplySiteView(told) => {
                     if let Some(watch) = &self.watch {
-                        watch.watched.take(told);
+                        watch.watched.apply(told);
                     }
                 }
                 Output::CommandEnded(tag, outcome) => {
@@ -513,7 +519,7 @@
                 leader.map_or("nobody known here leads".to_owned(), |l| format!("{l} led when last heard"));
             return refuse(format!("this front has no contact: ask another one; {leader}"));
         }
-        let change = match request.change(self.watch.as_ref().map(|w| &w.watched.sites)) {
+        let change = match request.change(self.watch.as_ref().map(|w| w.watched.sites())) {
             Ok(change) => change,
             Err(why) => return refuse(why),
         };
@@ -605,8 +611,8 @@
             }
             Event::Left => tracing::info!("fleet: left in order"),
             Event::SiteChanged { site, standing } => {
-                let name = self.watch.as_ref().map_or_else(String::new, |w| w.watched.sites.name(*site));
-                tracing::warn!(site = name, ?standing, "sites: agreed");
+                let name = self.watch.as_ref().map_or_else(String::new, |w| w.watched.sites().name(*site));
+                tracing::warn!(site = name, standing = standing.name(), "sites: agreed");
             }
             Event::MachineAdvanced { machine, step } => {
                 let (machine, step) = (self.work.names.machine(*machine), work::step_name(*step));
--- a/front/src/fleet/sites.rs
+++ b/front/src/fleet/sites.rs
@@ -1,13 +1,15 @@
-//! Sites by the file, and the plan for the loss of each: what `elmtide site plan` shows, and what [`crate::fleet::standing`] goes by.
+//! Sites by the file, and the plan for the loss of each: what `elmtide site plan` shows, and what [`crate::fleet::site_failover`] goes by.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::Path;
 use std::process::ExitCode;
 
-use elmtide_sites::plan::{one_more_box, tightest};
-use elmtide_sites::state::SITES;
-use elmtide_sites::{plan, Bound, Class, Layout, Loss, Move, NoPlan, Plan, Site, SiteId};
+use elmtide_sites::command::MAX_SITES;
+use elmtide_sites::failover_plan::{expansion_gains, tightest_bottleneck, DisplacedLoad, ExpansionGain};
+use elmtide_sites::{
+    plan, BindingConstraint, Class, FailoverPlan, Layout, Loss, PlanError, SiteCapacity, SiteId,
+};
 use serde::Deserialize;
 
 use crate::fleet::look;
@@ -145,29 +147,29 @@
             let figures = |names: &[&str], of: &BTreeMap<String, f64>| {
                 names.iter().map(|n| of.get(*n).copied().unwrap_or(0.0)).collect()
             };
-            Site {
+            SiteCapacity {
                 name: s.name.clone(),
-                room: s.room,
-                a_box: s.a_box,
+                capacity: s.room,
+                capacity_per_cache: s.a_box,
                 load: figures(&classes, &s.load),
-                links: figures(&hubs, &s.links),
+                link_capacity: figures(&hubs, &s.links),
             }
         };
         let layout = Layout {
             classes: (sites.class.iter())
                 .map(|c| Class {
                     name: c.name.clone(),
-                    worth: c.worth,
+                    priority_weight: c.worth,
                     work: c.work,
-                    misses: c.misses,
-                    must: c.must,
+                    fills_per_request: c.misses,
+                    must_be_served: c.must,
                 })
                 .collect(),
             branches: of(SiteKind::Branch).map(site).collect(),
             hubs: of(SiteKind::Hub).map(site).collect(),
-            to_origin: sites.to_origin,
-            origin: sites.origin,
-            own_loss: sites.own_loss,
+            origin_fraction: sites.to_origin,
+            origin_capacity: sites.origin,
+            max_own_loss: sites.own_loss,
         };
         layout.check().map_err(|why| why.to_string())?;
         let within = |ms: f64| (10.0..=3_600_000.0).contains(&ms);
@@ -177,8 +179,8 @@
         {
             return Err("sites: a time is not from 10 ms to an hour".into());
         }
-        if entries.len() > SITES {
-            return Err(format!("over {SITES} sites"));
+        if entries.len() > MAX_SITES {
+            return Err(format!("over {MAX_SITES} sites"));
         }
         let names = entries.iter().map(|s| (s.name.clone(), s.kind)).collect();
         Ok(Sites { layout, pairs: sites.pairs.clone(), names })
@@ -210,24 +212,27 @@
     }
 
     /// Where there is no plan: clients of each lost branch go to all others alike, and nothing is refused by plan.
-    pub fn evenly(&self, loss: &Loss) -> Plan {
+    pub fn spread_evenly(&self, loss: &Loss) -> FailoverPlan {
         let branches = 0..self.layout.branches.len();
         let takers: Vec<usize> = branches.filter(|b| !loss.branches.contains(b)).collect();
         let moves = loss.branches.iter().flat_map(|from| {
             let classes = self.layout.branches[*from].load.iter().enumerate();
             let each = classes.map(|(class, rate)| (class, rate / takers.len().max(1) as f64));
             let to = |(class, rate): (usize, f64)| {
-                takers.iter().map(move |to| Move { from: *from, to: *to, class, rate }).collect::<Vec<_>>()
+                takers
+                    .iter()
+                    .map(move |to| DisplacedLoad { from: *from, to: *to, class, rate })
+                    .collect::<Vec<_>>()
             };
             each.flat_map(to).collect::<Vec<_>>()
         });
-        Plan { moves: moves.collect(), ..Plan::default() }
+        FailoverPlan { moves: moves.collect(), ..FailoverPlan::default() }
     }
 
     fn lost(&self, names: &[&str]) -> Result<Loss, String> {
         let mut loss = Loss::default();
         for name in names {
-            let at = |sites: &[Site]| sites.iter().position(|s| s.name == *name);
+            let at = |sites: &[SiteCapacity]| sites.iter().position(|s| s.name == *name);
             match (at(&self.layout.branches), at(&self.layout.hubs)) {
                 (Some(branch), _) => drop(loss.branches.insert(branch)),
                 (_, Some(hub)) => drop(loss.hubs.insert(hub)),
@@ -252,7 +257,7 @@
     /// What plans are made for before it happens: nothing, each site, and the pairs of the file.
     pub fn losses(&self) -> Vec<Loss> {
         let pairs = self.pairs.iter().filter_map(|(a, b)| self.lost(&[a, b]).ok());
-        [Loss::default()].into_iter().chain(self.layout.losses()).chain(pairs).collect()
+        [Loss::default()].into_iter().chain(self.layout.single_losses()).chain(pairs).collect()
     }
 
     fn title(&self, loss: &Loss) -> String {
@@ -265,24 +270,26 @@
         }
     }
 
-    fn bound(&self, bound: &Bound) -> String {
+    fn bound(&self, bound: &BindingConstraint) -> String {
         let (branches, hubs) = (&self.layout.branches, &self.layout.hubs);
         match bound {
-            Bound::Room(at) => format!("the room of {}", branches[*at].name),
-            Bound::Hub(hub) => format!("the room of {}", hubs[*hub].name),
-            Bound::Link(at, hub) => format!("the link of {} to {}", branches[*at].name, hubs[*hub].name),
-            Bound::Origin => "the origin".into(),
+            BindingConstraint::Branch(at) => format!("the room of {}", branches[*at].name),
+            BindingConstraint::Hub(hub) => format!("the room of {}", hubs[*hub].name),
+            BindingConstraint::Link(at, hub) => {
+                format!("the link of {} to {}", branches[*at].name, hubs[*hub].name)
+            }
+            BindingConstraint::Origin => "the origin".into(),
         }
     }
 
-    fn print(&self, loss: &Loss, plan: &Plan) -> Result<(), String> {
+    fn print(&self, loss: &Loss, plan: &FailoverPlan) -> Result<(), String> {
         let layout = &self.layout;
         println!(
             "{}: worth {:.1} of {:.1} a second served, {:.1} refused",
             self.title(loss),
-            plan.worth,
-            plan.worth_asked,
-            plan.worth_asked - plan.worth
+            plan.value,
+            plan.value_asked,
+            plan.value_asked - plan.value
         );
         for m in &plan.moves {
             println!(
@@ -293,10 +300,10 @@
                 layout.branches[m.to].name
             );
         }
-        for (at, class, rate) in &plan.refused {
+        for rejected in &plan.rejected {
             println!(
-                "  {rate:>8.2} {:<12} of {} refused",
-                layout.classes[*class].name, layout.branches[*at].name
+                "  {:>8.2} {:<12} of {} refused",
+                rejected.rate, layout.classes[rejected.class].name, layout.branches[rejected.branch].name
             );
         }
         for (at, fills) in plan.fills.iter().enumerate().filter(|_| !loss.hubs.is_empty()) {
@@ -307,14 +314,16 @@
                 );
             }
         }
-        if let Some((bound, more)) = tightest(layout, loss).map_err(|why| why.to_string())? {
+        if let Some(bottleneck) = tightest_bottleneck(layout, loss).map_err(|why| why.to_string())? {
+            let more = bottleneck.gain;
             println!(
                 "  tightest: {}; a hundredth more of it is worth {more:.2} a second",
-                self.bound(&bound)
+                self.bound(&bottleneck.constraint)
             );
-            let boxes = one_more_box(layout, loss).map_err(|why| why.to_string())?;
-            let best = boxes.into_iter().max_by(|a, b| a.1.total_cmp(&b.1)).filter(|(_, gain)| *gain > 1e-6);
-            if let Some((at, gain)) = best {
+            let boxes = expansion_gains(layout, loss).map_err(|why| why.to_string())?;
+            let best =
+                boxes.into_iter().max_by(|a, b| a.gain.total_cmp(&b.gain)).filter(|best| best.gain > 1e-6);
+            if let Some(ExpansionGain { branch: at, gain }) = best {
                 println!("  one more box at {} is worth {gain:.2} a second", layout.branches[at].name);
             }
         }
@@ -368,7 +377,7 @@
             for loss in losses {
                 match plan(&sites.layout, &loss, None) {
                     Ok(plan) => sites.print(&loss, &plan)?,
-                    Err(NoPlan::Must { class, short, plan }) => {
+                    Err(PlanError::MustServe { class, missing_rate: short, plan }) => {
                         whole = false;
                         sites.print(&loss, &plan)?;
                         let class = &sites.layout.classes[class].name;
--- a/front/src/fleet/work.rs
+++ b/front/src/fleet/work.rs
@@ -63,7 +63,7 @@
         let of_site = |name: &str, lost: bool| {
             let site =
                 sites.and_then(|s| s.site(name)).ok_or_else(|| format!("there is no site {name:?}"))?;
-            Ok(AgreedCommand::Sites(elmtide_sites::Command::Operator { site, lost, at: 0 }))
+            Ok(AgreedCommand::Sites(elmtide_sites::SiteCommand::OverrideByOperator { site, lost, at_ms: 0 }))
         };
         match self {
             Request::SiteLost { site } => of_site(&site, true),
--- a/front/src/lifecycle/edge.rs
+++ b/front/src/lifecycle/edge.rs
@@ -24,7 +24,7 @@
 use crate::edge::config::{EdgeConfig, FrontState};
 use crate::edge::in_force::{Former, InForce, State};
 use crate::edge::serial::{serial_for, Kept};
-use crate::fleet::standing::Watched;
+use crate::fleet::site_failover::SiteFailover;
 use crate::memory::counters::Counters;
 use crate::memory::ledger::LIVES;
 use crate::memory::longest::Longest;
@@ -530,16 +530,17 @@
 }
 
 /// Where clients of the file's branches go by the plan in force, for branches that are sites and not whole.
-fn away(watched: &Watched, config: &EdgeConfig) -> Vec<(BranchId, Away)> {
-    let now = watched.now();
+fn away(failover: &SiteFailover, config: &EdgeConfig) -> Vec<(BranchId, Away)> {
+    let current = failover.current();
     let place = |branch: usize| {
-        let name = &watched.sites.layout.branches.get(branch)?.name;
+        let name = &failover.sites().layout.branches.get(branch)?.name;
         config.branch.iter().position(|b| b.name == *name).map(|p| BranchId(p as u16))
     };
-    let ways = now.directions.ways.iter().enumerate().filter(|(_, way)| way.home < 1.0);
-    let away = ways.filter_map(|(branch, way)| {
-        let to = way.to.iter().filter_map(|(to, reach)| Some((place(*to)?, *reach))).collect();
-        Some((place(branch)?, Away { home: way.home, to }))
+    let displaced = current.routing().branches().iter().enumerate().filter(|(_, b)| b.at_home < 1.0);
+    let away = displaced.filter_map(|(branch, routing)| {
+        let destinations = routing.destinations.iter();
+        let to = destinations.filter_map(|d| Some((place(d.branch)?, d.reach))).collect();
+        Some((place(branch)?, Away { home: routing.at_home, to }))
     });
     away.collect()
 }
--- a/front/src/server/http.rs
+++ b/front/src/server/http.rs
@@ -13,7 +13,7 @@
 
 use crate::edge::in_force::{InForce, Owner, State};
 use crate::exchange::{Answer, Class, Input, Responder, Token};
-use crate::fleet::standing::{Place, Watched};
+use crate::fleet::site_failover::{Client as PlannedClient, ClientDecision, SiteFailover};
 use crate::memory::budget::Held;
 use crate::memory::ledger::{Entered, Ledger};
 use crate::process::{clock, spawn};
@@ -49,7 +49,7 @@
     pub ledger: Arc<Ledger>,
     pub in_force: Arc<InForce>,
     /// Where sites are watched.
-    pub sites: Option<Arc<Watched>>,
+    pub sites: Option<Arc<SiteFailover>>,
     pub seed: u64,
     pub jobs: AtomicU64,
 }
@@ -335,22 +335,24 @@
 
     /// What the plan for a lost site says to this client before anything is done for it: to go elsewhere, or that it is refused.
     fn placed(&self, state: &State, class: &Class) -> Option<Response> {
-        let watched = self.site.sites.as_ref()?;
+        let failover = self.site.sites.as_ref()?;
         let view = &state.served.as_ref()?.view;
         let client = Net::host(self.client.stream().peer_addr().ok()?.ip());
-        let (home, drawn, other) = view.home(client);
+        let (home, routing_draw, rejection_draw) = view.home(client);
         let home = &state.config.branch.get(usize::from(home?.0))?.name;
-        match watched.place(home, &class.name, drawn, other) {
-            Place::Here => None,
-            Place::Elsewhere => {
+        let client = PlannedClient { home, class: &class.name, routing_draw, rejection_draw };
+        match failover.decide(&client) {
+            ClientDecision::ServeHere => None,
+            ClientDecision::Redirect => {
                 self.site.intake.counters.site_refused.fetch_add(1, Relaxed);
                 Some(self.sent_away(state))
             }
-            Place::Refused { most_ms } => {
+            ClientDecision::Reject { max_wait_ms } => {
                 self.site.intake.counters.site_refused.fetch_add(1, Relaxed);
                 let turn = self.site.jobs.fetch_add(1, Relaxed);
                 // Those who are refused do not return together.
-                let wait = most_ms / 2 + turn.wrapping_mul(0x9E37_79B9_7F4A_7C15) % (most_ms / 2).max(1);
+                let half = max_wait_ms / 2;
+                let wait = half + turn.wrapping_mul(0x9E37_79B9_7F4A_7C15) % half.max(1);
                 Some(reply(&Answer::Refused { wait_ms: Some(wait) }, false))
             }
         }
@@ -380,9 +382,9 @@
         // What has run here is told here, whoever owns the key now.
         if !site.ledger.knows(&key) {
             let mut owner = state.owner(key.as_str(), &site.name, came);
-            if let Some(watched) = &site.sites {
-                let among = watched.owner(&state.config, key.as_str(), came, &watched.now());
-                owner = among.or_later(owner);
+            if let Some(failover) = &site.sites {
+                let by_sites = failover.owner(&state.config, key.as_str(), came, &failover.current());
+                owner = by_sites.or_later(owner);
             }
             match owner {
                 Owner::Other(owner) => {
--- a/lab/src/site.rs
+++ b/lab/src/site.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use elmtide_sites::{plan, Class, Layout, Loss, Site};
+use elmtide_sites::{plan, Class, Layout, Loss, SiteCapacity};
 use elmtide_standins::fleet::{Fleet, Plan, Sites, Web, NAME};
 use elmtide_standins::node::{runs, Behaviour};
 use elmtide_standins::shopper::{get, lookup_from, signup, Http};
@@ -43,21 +43,27 @@
 
 /// The same figures as the file's.
 fn layout() -> Layout {
-    let class = |name: &str, worth, must| Class { name: name.into(), worth, work: 1.0, misses: 0.0, must };
-    let branch = |(n, load): (usize, &f64)| Site {
+    let class = |name: &str, worth, must| Class {
+        name: name.into(),
+        priority_weight: worth,
+        work: 1.0,
+        fills_per_request: 0.0,
+        must_be_served: must,
+    };
+    let branch = |(n, load): (usize, &f64)| SiteCapacity {
         name: format!("s{n}"),
-        room: room(),
-        a_box: room() / BOXES as f64,
+        capacity: room(),
+        capacity_per_cache: room() / BOXES as f64,
         load: split(*load).into(),
-        links: Vec::new(),
+        link_capacity: Vec::new(),
     };
     Layout {
         classes: vec![class("plan-signup", WORTH, true), class("small-files", 1.0, false)],
         branches: LOADS.iter().enumerate().map(branch).collect(),
         hubs: Vec::new(),
-        to_origin: 1.0,
-        origin: 1000.0,
-        own_loss: 0.02,
+        origin_fraction: 1.0,
+        origin_capacity: 1000.0,
+        max_own_loss: 0.02,
     }
 }
 
@@ -317,13 +323,13 @@
 }
 
 /// Part of what is asked that the plan serves at a second, for each site's clients: by the plan while it is lost, all else.
-fn oracle(planned: &elmtide_sites::Plan, layout: &Layout, second: u64) -> [f64; SITES] {
+fn oracle(planned: &elmtide_sites::FailoverPlan, layout: &Layout, second: u64) -> [f64; SITES] {
     let gone = (CALM..CALM + GONE).contains(&second);
     [0, 1, 2].map(|site| {
         let asked: f64 =
-            layout.branches[site].load.iter().zip(&layout.classes).map(|(r, c)| r * c.worth).sum();
-        let refused = planned.refused.iter().filter(|(b, ..)| *b == site);
-        let refused: f64 = refused.map(|(_, class, rate)| rate * layout.classes[*class].worth).sum();
+            layout.branches[site].load.iter().zip(&layout.classes).map(|(r, c)| r * c.priority_weight).sum();
+        let refused = planned.rejected.iter().filter(|r| r.branch == site);
+        let refused: f64 = refused.map(|r| r.rate * layout.classes[r.class].priority_weight).sum();
         if gone {
             1.0 - refused / asked
         } else {
@@ -339,7 +345,7 @@
     println!(
         "{SITES} sites of 2 fronts and {BOXES} boxes; {LOADS:?} requests a second, one in {SIGNUP} a signup worth {WORTH}. The first site is\n\
          lost after {CALM} s and back {GONE} s later, with empty boxes. The plan: {:.0} of {:.0} worth a second. Seed {seed}.\n",
-        planned.worth, planned.worth_asked
+        planned.value, planned.value_asked
     );
     println!("| way | calm | of the oracle, from {FROM} s after the loss to the end | takers' own clients, before | while it is lost | declared after | all back after | signups twice | without an answer | turned away by boxes |");
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
@@ -421,16 +427,26 @@
     println!("| --- | --- | --- | --- | --- | --- |");
     for count in [3usize, 20, 100] {
         let hubs = count.div_ceil(10);
-        let class =
-            |name: &str, worth, must| Class { name: name.into(), worth, work: 1.0, misses: 0.1, must };
-        let hub =
-            |n: usize| Site { name: format!("h{n}"), room: 400.0, a_box: 40.0, load: vec![], links: vec![] };
-        let branch = |n: usize| Site {
+        let class = |name: &str, worth, must| Class {
+            name: name.into(),
+            priority_weight: worth,
+            work: 1.0,
+            fills_per_request: 0.1,
+            must_be_served: must,
+        };
+        let hub = |n: usize| SiteCapacity {
+            name: format!("h{n}"),
+            capacity: 400.0,
+            capacity_per_cache: 40.0,
+            load: vec![],
+            link_capacity: vec![],
+        };
+        let branch = |n: usize| SiteCapacity {
             name: format!("s{n}"),
-            room: 100.0 + (n * 7 % 30) as f64,
-            a_box: 25.0,
+            capacity: 100.0 + (n * 7 % 30) as f64,
+            capacity_per_cache: 25.0,
             load: vec![4.0, 40.0 + (n * 11 % 40) as f64, 20.0],
-            links: (0..hubs).map(|h| if h == n % hubs { 30.0 } else { 10.0 }).collect(),
+            link_capacity: (0..hubs).map(|h| if h == n % hubs { 30.0 } else { 10.0 }).collect(),
         };
         let layout = Layout {
             classes: vec![
@@ -440,9 +456,9 @@
             ],
             branches: (0..count).map(branch).collect(),
             hubs: (0..hubs).map(hub).collect(),
-            to_origin: 0.3,
-            origin: 100.0 * count as f64,
-            own_loss: 0.02,
+            origin_fraction: 0.3,
+            origin_capacity: 100.0 * count as f64,
+            max_own_loss: 0.02,
         };
         let mut took = Vec::new();
         let mut most = 0;
--- a/model/src/sites.rs
+++ b/model/src/sites.rs
@@ -4,7 +4,8 @@
 
 use elmtide_budgets::{Clocks, Micros};
 use elmtide_fleet::{AgreedCommand, FleetNode};
-use elmtide_sites::{Command, Holding, Rules, SiteId, Standing, Watcher};
+use elmtide_sites::health_monitor::Timeliness;
+use elmtide_sites::{FailoverSettings, HeldSiteView, RecoveryPhase, SiteCommand, SiteHealthMonitor, SiteId};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -31,7 +32,7 @@
     /// The last moment at which a site could hear nothing at all of another one.
     silent: BTreeMap<(usize, usize), Micros>,
     /// As the latest that any voter has applied.
-    pub standing: Vec<Standing>,
+    pub standing: Vec<RecoveryPhase>,
     number: u64,
     /// The last span in which nobody led, from and to: a declaration that a leader could not get agreed on then is carried out after it.
     unled: (Micros, Micros),
@@ -39,7 +40,7 @@
 
 impl Sites {
     pub fn new(count: usize) -> Sites {
-        let (boxes, standing) = (vec![true; count], vec![Standing::Present; count]);
+        let (boxes, standing) = (vec![true; count], vec![RecoveryPhase::Serving; count]);
         Sites {
             count,
             boxes,
@@ -52,23 +53,29 @@
     }
 }
 
-pub fn rules(setup: &Setup, ids: &[elmtide_budgets::FrontId]) -> Option<Rules> {
+pub fn rules(setup: &Setup, ids: &[elmtide_budgets::FrontId]) -> Option<FailoverSettings> {
     let count = setup.sites?;
     let fronts = ids.iter().enumerate().map(|(n, id)| (*id, SiteId((n % count) as u16))).collect();
-    Some(Rules { sites: count as u16, patience: PATIENCE, ceiling: CEILING, pace: PACE, fronts })
+    Some(FailoverSettings {
+        sites: count as u16,
+        patience_ms: PATIENCE,
+        max_patience_ms: CEILING,
+        min_phase_ms: PACE,
+        site_of_front: fronts,
+    })
 }
 
 /// What one front sees of sites, and was told.
 #[derive(Clone, Debug)]
 pub struct Looker {
-    watcher: Watcher,
-    pub holding: Holding,
+    watcher: SiteHealthMonitor,
+    pub holding: HeldSiteView,
 }
 
 impl Looker {
     pub fn new(count: usize, own: usize, now: Micros) -> Looker {
         let others = (0..count).filter(|s| *s != own).map(|s| SiteId(s as u16));
-        Looker { watcher: Watcher::new(SILENCE, others, now), holding: Holding::default() }
+        Looker { watcher: SiteHealthMonitor::new(SILENCE, others, now), holding: HeldSiteView::default() }
     }
 }
 
@@ -113,8 +120,8 @@
         }
     }
 
-    pub fn standing(&self, site: usize) -> Standing {
-        self.sites.as_ref().map_or(Standing::Present, |s| s.standing[site])
+    pub fn standing(&self, site: usize) -> RecoveryPhase {
+        self.sites.as_ref().map_or(RecoveryPhase::Serving, |s| s.standing[site])
     }
 
     /// What a front says of sites, as its fleet's thread would.
@@ -128,18 +135,18 @@
         let Some((member, looker)) = self.looker(node) else { return };
         for front in member.take_heard_fronts() {
             if let Some(other) = ids.iter().position(|id| *id == front).filter(|n| n % count != own) {
-                looker.watcher.heard_front(SiteId((other % count) as u16), front.0, clocks.monotonic);
+                looker.watcher.on_front_heard(SiteId((other % count) as u16), front.0, clocks.monotonic);
             }
         }
         for site in reached {
-            looker.watcher.heard_box(SiteId(site as u16), 0, false, clocks.monotonic);
+            looker.watcher.on_cache_answered(SiteId(site as u16), 0, Timeliness::InTime, clocks.monotonic);
         }
-        let said = elmtide_sites::Said {
-            words: looker.watcher.words(clocks.monotonic),
-            seen: looker.holding.view.as_ref().map(|v| v.number),
-            caught_up: true,
-            warm,
-            strained: false,
+        let said = elmtide_sites::SiteReport {
+            opinions: looker.watcher.opinions(clocks.monotonic),
+            view_revision: looker.holding.view().map(|v| v.revision),
+            has_caught_up: true,
+            caches_warm: warm,
+            is_overloaded: false,
         };
         member.report_sites(said, clocks);
     }
@@ -181,20 +188,22 @@
         let (Some(sites), Some(state)) = (&self.sites, self.member(node).and_then(FleetNode::sites)) else {
             return;
         };
-        if state.number() <= sites.number {
+        if state.revision() <= sites.number {
             return;
         }
-        let number = state.number();
-        let after: Vec<Standing> = state.entries().values().map(|e| e.standing).collect();
+        let number = state.revision();
+        let after: Vec<RecoveryPhase> = state.sites().values().map(|e| e.phase).collect();
         let now = self.now;
         let mut wrong = Vec::new();
         for (of, is) in after.iter().enumerate() {
-            if *is != Standing::Lost || sites.standing[of] == Standing::Lost {
+            if *is != RecoveryPhase::Lost || sites.standing[of] == RecoveryPhase::Lost {
                 continue;
             }
             let others: Vec<usize> = (0..sites.count)
                 .filter(|by| {
-                    *by != of && after[*by] != Standing::Lost && sites.standing[*by] != Standing::Lost
+                    *by != of
+                        && after[*by] != RecoveryPhase::Lost
+                        && sites.standing[*by] != RecoveryPhase::Lost
                 })
                 .collect();
             let since = if now - sites.unled.1 <= LATE { sites.unled.0 } else { now };
@@ -215,7 +224,14 @@
 
     /// An operator's word, asked for at a node.
     pub fn operator(&mut self, node: usize, site: usize, lost: bool) -> bool {
-        self.change(node, AgreedCommand::Sites(Command::Operator { site: SiteId(site as u16), lost, at: 0 }))
+        self.change(
+            node,
+            AgreedCommand::Sites(SiteCommand::OverrideByOperator {
+                site: SiteId(site as u16),
+                lost,
+                at_ms: 0,
+            }),
+        )
     }
 }
 
@@ -267,9 +283,9 @@
         (0..count).for_each(|by| world.cut_boxes(by, site, false));
         world.bring_site(site);
     }
-    let back = |w: &World| (0..count).all(|s| w.standing(s) == Standing::Present);
+    let back = |w: &World| (0..count).all(|s| w.standing(s) == RecoveryPhase::Serving);
     if !world.until(90_000_000, back) {
-        let left: Vec<Standing> = (0..count).map(|s| world.standing(s)).collect();
+        let left: Vec<RecoveryPhase> = (0..count).map(|s| world.standing(s)).collect();
         world.breach(format!("not all sites are back after 90 s: {left:?}"));
     }
     world.report()
--- a/model/src/world.rs
+++ b/model/src/world.rs
@@ -681,7 +681,7 @@
                 }
                 Output::ApplySiteView(told) => {
                     if let Some(looker) = &mut self.nodes[node].looker {
-                        looker.holding.take(told);
+                        looker.holding.apply(told);
                     }
                     self.say_sites(node, clocks);
                 }
--- a/model/tests/sites.rs
+++ b/model/tests/sites.rs
@@ -2,7 +2,7 @@
 
 use elmtide_model::sites::play_sites;
 use elmtide_model::{Setup, World};
-use elmtide_sites::Standing;
+use elmtide_sites::RecoveryPhase;
 
 const SECOND: u64 = 1_000_000;
 
@@ -21,7 +21,7 @@
     world.run(5 * SECOND);
     assert!(world.operator(1, 0, true));
     world.run(SECOND);
-    assert_eq!(world.standing(0), Standing::Lost);
+    assert_eq!(world.standing(0), RecoveryPhase::Lost);
     assert!(!world.report().over.is_empty(), "an operator's word is no loss, and the checker knows of none");
 }
 
@@ -35,11 +35,11 @@
     for site in [13, leaders] {
         world.lose_site(site);
         let lost_at = world.now;
-        assert!(world.until(8 * SECOND, |w| w.standing(site) == Standing::Lost), "site {site}");
+        assert!(world.until(8 * SECOND, |w| w.standing(site) == RecoveryPhase::Lost), "site {site}");
         println!("site {site} is declared after {} ms", (world.now - lost_at) / 1000);
         assert!(world.now - lost_at <= 4 * SECOND);
         world.bring_site(site);
-        assert!(world.until(30 * SECOND, |w| w.standing(site) == Standing::Present));
+        assert!(world.until(30 * SECOND, |w| w.standing(site) == RecoveryPhase::Serving));
     }
     let before = world.report().datagrams;
     world.run(4 * SECOND);
