--- a/core/sites/src/ownership.rs
+++ b/core/sites/src/ownership.rs
@@ -60,13 +60,30 @@
         self.excluded = excluded;
     }
 
-    /// Other fronts own no key from now on. An owner by the view before may be taking a request until its lease must have
+    /// Other fronts own no key from now on. An owner by an earlier view may be taking a request until its lease must have
     /// expired, and running it for as long as a key lives: until `until`.
-    pub fn change(&mut self, excluded: BTreeSet<F>, now: UnixMs, until: UnixMs) {
+    ///
+    /// `uncertain` are the fronts of sites of which `own` may have missed changes since the view before: each of them may have
+    /// been excluded meanwhile, or not. If `own` is one of them, any other front may have owned any key; else only those could
+    /// come before it that were not excluded.
+    pub fn change(
+        &mut self,
+        own: &F,
+        excluded: BTreeSet<F>,
+        uncertain: &BTreeSet<F>,
+        now: UnixMs,
+        until: UnixMs,
+    ) {
         self.forget_expired(now);
-        if excluded != self.excluded {
-            let before = std::mem::replace(&mut self.excluded, excluded);
-            self.remember(FormerExclusion { excluded: Some(before), until });
+        let before = std::mem::replace(&mut self.excluded, excluded);
+        if uncertain.contains(own) {
+            self.remember(FormerExclusion { excluded: None, until });
+            return;
+        }
+        let least: BTreeSet<F> = before.difference(uncertain).cloned().collect();
+        let formers = if least == before { vec![before] } else { vec![before, least] };
+        for former in formers.into_iter().filter(|former| *former != self.excluded).collect::<Vec<_>>() {
+            self.remember(FormerExclusion { excluded: Some(former), until });
         }
     }
 
--- a/core/sites/src/report.rs
+++ b/core/sites/src/report.rs
@@ -55,6 +55,17 @@
         lost.map(|(place, _)| SiteId(place as u16)).collect()
     }
 
+    /// Sites of which this front may have missed changes since an earlier view: those that differ from it, unless one change
+    /// lies between the two.
+    pub fn sites_with_missed_changes(&self, before: &SiteView) -> Vec<SiteId> {
+        if self.revision <= before.revision + 1 {
+            return Vec::new();
+        }
+        let has_changed = |(place, entry): &(usize, &SiteViewEntry)| before.sites.get(*place) != Some(*entry);
+        let changed = self.sites.iter().enumerate().filter(has_changed);
+        changed.map(|(place, _)| SiteId(place as u16)).collect()
+    }
+
     /// Whether no site has ever changed.
     pub fn is_untouched(&self) -> bool {
         self.sites.iter().all(|entry| entry.since_ms == 0)
--- a/front/src/fleet/site_failover.rs
+++ b/front/src/fleet/site_failover.rs
@@ -200,7 +200,7 @@
         let has_changed = before.view().is_none_or(|before| before.sites != view.sites);
         if has_changed {
             next.routing = self.routing(&view);
-            self.change_owners(&mut next.ownership, &view, before.view().is_none());
+            self.change_owners(&mut next.ownership, &view, before.view());
         }
         self.current.store(Arc::new(next));
         has_changed
@@ -208,21 +208,31 @@
 
     /// Fronts of lost sites own no key. An owner from before may be taking a request until its lease must have expired, and
     /// running it for as long as a key lives.
-    fn change_owners(&self, ownership: &mut OwnershipHistory<String>, view: &SiteView, is_first: bool) {
-        let lost = view.lost();
-        let of_lost = self.config.fronts.iter().filter(|(_, site)| lost.contains(site));
-        let excluded: BTreeSet<String> = of_lost.map(|(name, _)| name.clone()).collect();
+    fn change_owners(
+        &self,
+        ownership: &mut OwnershipHistory<String>,
+        view: &SiteView,
+        before: Option<&SiteView>,
+    ) {
+        let excluded = self.fronts_of(&view.lost());
         let lease = self.config.lease;
         let lease_ms = lease.safe_expiry(lease.duration) as f64 / MICROS_PER_MS;
         let now = clock::unix_ms();
         let until = now + lease_ms + self.config.key_lifetime;
-        if is_first {
-            ownership.begin(excluded, view.is_untouched(), now, until);
-        } else {
-            ownership.change(excluded, now, until);
+        match before {
+            None => ownership.begin(excluded, view.is_untouched(), now, until),
+            Some(before) => {
+                let uncertain = self.fronts_of(&view.sites_with_missed_changes(before));
+                ownership.change(&self.config.own_name, excluded, &uncertain, now, until);
+            }
         }
     }
 
+    fn fronts_of(&self, sites: &[SiteId]) -> BTreeSet<String> {
+        let fronts = self.config.fronts.iter().filter(|(_, site)| sites.contains(site));
+        fronts.map(|(name, _)| name.clone()).collect()
+    }
+
     fn phase(&self, view: &SiteView, kind: SiteKind, place: usize) -> RecoveryPhase {
         self.sites().id(kind, place).map_or(RecoveryPhase::Serving, |site| view.phase(site))
     }
