--- a/front/src/engine/working.rs
+++ b/front/src/engine/maintenance_client.rs
@@ -21,7 +21,7 @@
 const WORK: Ms = 50.0;
 
 #[derive(Debug)]
-pub struct Working {
+pub struct MaintenanceClient {
     /// The clocks of this input of the engine.
     now: Clocks,
     viewer: MaintenanceExclusions,
@@ -39,9 +39,9 @@
     faded: u64,
 }
 
-impl Working {
-    pub fn new(viewer: MaintenanceExclusions, own: Option<MachineId>) -> Working {
-        Working {
+impl MaintenanceClient {
+    pub fn new(viewer: MaintenanceExclusions, own: Option<MachineId>) -> MaintenanceClient {
+        MaintenanceClient {
             now: clock::both(),
             viewer,
             own,
--- a/front/src/engine/mod.rs
+++ b/front/src/engine/mod.rs
@@ -12,7 +12,7 @@
 
 pub mod budget_client;
 mod cells;
-pub mod working;
+pub mod maintenance_client;
 
 use elmtide_budgets::Priority;
 use elmtide_cells::{Arrival, Decision, Ended, Layout, Why};
@@ -20,7 +20,7 @@
 use self::budget_client::{BudgetClient, RETRIES};
 use self::cells::InCells;
 pub use self::cells::Listed;
-use self::working::Working;
+use self::maintenance_client::MaintenanceClient;
 use crate::exchange::*;
 use crate::fleet_link::FleetUpdate;
 use crate::memory::announced::Announced;
@@ -102,7 +102,7 @@
     /// Budgets that belong to all fronts, where there is a fleet.
     budgets: Option<Box<BudgetClient>>,
     /// Machines that are taken out for work, where the fleet's file has any.
-    working: Option<Box<Working>>,
+    maintenance: Option<Box<MaintenanceClient>>,
 }
 
 /// Purges that a router built after them is told at most.
@@ -158,13 +158,13 @@
             class_names: Vec::new(),
             sent_away: false,
             budgets: None,
-            working: None,
+            maintenance: None,
         }
     }
 
     /// Keeps off machines that are out for work.
-    pub fn keeping_off(mut self, working: Option<Box<Working>>) -> Engine<U> {
-        self.working = working;
+    pub fn with_maintenance(mut self, maintenance: Option<Box<MaintenanceClient>>) -> Engine<U> {
+        self.maintenance = maintenance;
         self
     }
 
@@ -263,8 +263,8 @@
         let now = clock::both();
         self.now = (now.wall as f64 / 1000.0).max(self.now);
         budgets.set_time(now);
-        if let Some(working) = &mut self.working {
-            working.at(now);
+        if let Some(maintenance) = &mut self.maintenance {
+            maintenance.at(now);
         }
     }
 
@@ -327,8 +327,8 @@
                 }
             }
             Input::Fleet(FleetUpdate::Maintenance(told)) => {
-                if let Some(working) = &mut self.working {
-                    working.take(&told);
+                if let Some(maintenance) = &mut self.maintenance {
+                    maintenance.take(&told);
                 }
                 self.keep_off();
                 self.withdraw_from_lost();
@@ -363,8 +363,8 @@
     /// A list for whoever decides: the one router as it came, cells' routers each its own whole one.
     fn on_list(&mut self, news: &MembersNews, event: Event) {
         self.listed.learn(news, &event);
-        if let Some(working) = &mut self.working {
-            working.learn(news);
+        if let Some(maintenance) = &mut self.maintenance {
+            maintenance.learn(news);
             self.keep_off();
         }
         let event = self.listed.kept_off(event);
@@ -389,9 +389,9 @@
 
     /// Has the routers drain what is to be kept off by now, and take back what is not.
     fn keep_off(&mut self) {
-        let Some(working) = &mut self.working else { return };
-        let changed = working.refresh();
-        let goes = working.goes();
+        let Some(maintenance) = &mut self.maintenance else { return };
+        let changed = maintenance.refresh();
+        let goes = maintenance.goes();
         if goes != self.sent_away {
             self.sent_away = goes;
             self.counters.mode.machine_goes(goes);
@@ -401,7 +401,7 @@
         if changed.is_empty() {
             return;
         }
-        self.listed.keep_off(working.off().clone());
+        self.listed.keep_off(maintenance.off().clone());
         let entries = self.listed.of(&changed);
         if entries.is_empty() {
             return;
@@ -415,13 +415,13 @@
     /// Tells the fleet's thread what is wanted, used and seen.
     fn report(&mut self) {
         let Some(budgets) = &mut self.budgets else { return };
-        if let Some(working) = &self.working {
-            working.let_go().for_each(|member| self.failing.forget(member));
+        if let Some(maintenance) = &self.maintenance {
+            maintenance.let_go().for_each(|member| self.failing.forget(member));
         }
-        let said = self.working.as_mut().map(|working| {
+        let said = self.maintenance.as_mut().map(|maintenance| {
             let (exchanges, failing) = (&self.exchanges, &self.failing);
             let busy = exchanges.unanswered() > 0;
-            let mut said = working.said(
+            let mut said = maintenance.said(
                 &self.listed.all_listings(),
                 &self.settings,
                 self.now,
@@ -665,8 +665,8 @@
         let router = exchange.router;
         self.counters.outcome(outcome);
         self.failing.heard(to, outcome);
-        if let Some(working) = self.working.as_mut().filter(|_| outcome == Outcome::Ok) {
-            working.served(to);
+        if let Some(maintenance) = self.maintenance.as_mut().filter(|_| outcome == Outcome::Ok) {
+            maintenance.served(to);
         }
         let settled = exchange.is_answered();
         let (id, attempt) = (key.id, key.attempt);
@@ -746,7 +746,7 @@
 
     /// Gives a router an event and does what it says.
     fn tell(&mut self, router: usize, event: Event) {
-        if self.working.as_ref().is_some_and(|w| w.turned()) {
+        if self.maintenance.as_ref().is_some_and(|w| w.turned()) {
             self.keep_off();
         }
         let mut actions = std::mem::take(&mut self.actions);
@@ -821,13 +821,13 @@
                 let may_fill = self.may_fill(router, passed.write);
                 let source = Some(source).filter(|s| *s != cache && may_fill);
                 let source = self.shared_fill(key, cache, source, passed.write);
-                if let Some(working) = &mut self.working {
+                if let Some(maintenance) = &mut self.maintenance {
                     let exchange = self.exchanges.get_mut(id);
                     let work = exchange.as_ref().and_then(|e| e.work);
                     if let (Some(exchange), Some(source)) = (exchange, source) {
                         exchange.fills_from(attempt, source);
                     }
-                    working.sent(&[Some(cache), source].into_iter().flatten().collect::<Vec<_>>(), work);
+                    maintenance.sent(&[Some(cache), source].into_iter().flatten().collect::<Vec<_>>(), work);
                 }
                 let order =
                     Order { key, passed, cache, source, rank, max_age, mode, timeout, write_by, guarded };
--- a/front/src/fleet/config.rs
+++ b/front/src/fleet/config.rs
@@ -231,7 +231,7 @@
 
     /// The budget, where the file says how large it is; kinds of which each box has its own are found in service. A link is that
     /// of the front's own site: each site has one of that size.
-    pub fn whole(&self, site: &str) -> Result<Option<(BudgetId, TotalLimit)>, String> {
+    pub fn limit(&self, site: &str) -> Result<Option<(BudgetId, TotalLimit)>, String> {
         let kind = self.kind()?;
         let id = match kind {
             BudgetKind::LinkFills => FrontId::from_name(site).0,
--- a/front/src/fleet/look.rs
+++ b/front/src/fleet/look.rs
@@ -9,12 +9,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use arc_swap::ArcSwapOption;
 use elmtide_budgets::{Clocks, FrontId, TOTAL};
 use elmtide_fleet::NodeStatus;
 use elmtide_peers::Liveness;
 use serde::{Deserialize, Serialize};
 
+use crate::fleet::operator::{CallError, OperatorCalls};
 use crate::fleet_link::EngineReport;
 use crate::process::spawn;
 
@@ -157,18 +157,13 @@
     }
 }
 
-/// Answers whoever connects: `show` with what is shown now, `forget NAME` by handing that on.
-pub fn listen(
-    path: &Path,
-    shown: Arc<ArcSwapOption<Shown>>,
-    forget: impl Fn(&str) -> Result<(), String> + Send + Sync + 'static,
-    work: impl Fn(Option<&str>) -> Result<String, String> + Send + Sync + 'static,
-) -> std::io::Result<()> {
+/// Answers whoever connects with one line: `show`, `forget NAME`, `work-show` or `work JSON`.
+pub fn listen(path: &Path, calls: OperatorCalls) -> std::io::Result<()> {
     if UnixStream::connect(path).is_err() {
         let _ = std::fs::remove_file(path);
     }
     let listener = UnixListener::bind(path)?;
-    let does = Arc::new((shown, forget, work));
+    let calls = Arc::new(calls);
     // An operator's command waits for its outcome, while others look.
     let busy = Arc::new(AtomicUsize::new(0));
     let serve = move || {
@@ -177,9 +172,9 @@
                 busy.fetch_sub(1, Relaxed);
                 continue;
             }
-            let (does, done) = (does.clone(), busy.clone());
+            let (calls, done) = (calls.clone(), busy.clone());
             let one = move || {
-                let _ = answer(stream, &does.0, &does.1, &does.2);
+                let _ = answer(stream, &calls);
                 done.fetch_sub(1, Relaxed);
             };
             if spawn("fleet-call", one).is_err() {
@@ -190,26 +185,18 @@
     spawn("fleet-look", serve).map(drop)
 }
 
-fn answer(
-    mut stream: UnixStream,
-    shown: &ArcSwapOption<Shown>,
-    forget: &impl Fn(&str) -> Result<(), String>,
-    work: &impl Fn(Option<&str>) -> Result<String, String>,
-) -> std::io::Result<()> {
+fn answer(mut stream: UnixStream, calls: &OperatorCalls) -> std::io::Result<()> {
     stream.set_write_timeout(Some(PATIENCE))?;
     stream.set_read_timeout(Some(PATIENCE))?;
     let mut line = String::new();
     BufReader::new((&stream).take(LINE)).read_line(&mut line)?;
-    let text = match line.trim().split_once(' ') {
-        None if line.trim() == "show" => {
-            shown.load().as_ref().and_then(|s| serde_json::to_string(&**s).ok()).unwrap_or_default()
-        }
-        Some(("forget", name)) => match forget(name) {
-            Ok(()) => "asked".to_owned(),
-            Err(why) => format!("refused: {why}"),
-        },
-        None if line.trim() == "work-show" => work(None).unwrap_or_else(|why| format!("refused: {why}")),
-        Some(("work", asked)) => work(Some(asked)).unwrap_or_else(|why| format!("refused: {why}")),
+    let refused = |why: CallError| format!("refused: {why}");
+    let line = line.trim();
+    let text = match line.split_once(' ') {
+        None if line == "show" => calls.status(),
+        None if line == "work-show" => calls.maintenance().unwrap_or_else(refused),
+        Some(("forget", name)) => calls.remove_front(name).map_or_else(refused, |()| "asked".to_owned()),
+        Some(("work", request)) => calls.request(request).unwrap_or_else(refused),
         _ => "refused: not understood".to_owned(),
     };
     stream.write_all(text.as_bytes())
--- a/front/src/fleet/mod.rs
+++ b/front/src/fleet/mod.rs
@@ -2,16 +2,20 @@
 //! inputs of the engine. The engine never asks it anything: it spends by what it has in hand.
 
 pub mod config;
+pub mod events;
 pub mod hooks;
 pub mod look;
+pub mod operator;
 pub mod probe;
 pub mod runner;
 pub mod site_failover;
+pub mod site_watch;
 pub mod sites;
 pub mod spend_log;
+pub mod start;
 pub mod work;
 
-pub use runner::{start, Started};
+pub use start::{start, FleetStart, Started};
 
 /// Events of the fleet go to standard error, as text or as JSON.
 pub fn log(form: config::LogForm) {
--- /dev/null
+++ b/front/src/fleet/site_watch.rs
@@ -0,0 +1,121 @@
+//! What this front hears of other sites, and what it reports of them.
+
+use std::collections::BTreeMap;
+use std::sync::atomic::Ordering::Relaxed;
+use std::sync::Arc;
+use std::time::Duration;
+
+use crossbeam_channel::{bounded, Receiver};
+use elmtide_budgets::{Clocks, FrontId, LeaseSettings};
+use elmtide_sites::{FailoverSettings, RecoveryPhase, SiteHealthMonitor, SiteId, SiteReport};
+
+use crate::fleet::config::FleetConfig;
+use crate::fleet::probe;
+use crate::fleet::site_failover::{FailoverConfig, SiteFailover};
+use crate::fleet::sites::{Sites, SitesEntry};
+use crate::fleet::start::StartError;
+use crate::fleet_link::OwnSiteState;
+use crate::memory::counters::Counters;
+use crate::memory::ledger::LIVES;
+use crate::process::clock;
+
+const PROBE_QUEUE: usize = 256;
+/// All cache nodes of a site count as one: which of them are down is their own fronts' matter.
+const ANY_CACHE: u64 = 0;
+
+/// What sites are watched by.
+pub struct SiteWatchConfig<'a> {
+    /// The fleet's file.
+    pub config: &'a FleetConfig,
+    /// Its table of sites.
+    pub table: &'a SitesEntry,
+    /// What all fronts agree on.
+    pub failover: &'a FailoverSettings,
+    /// This front.
+    pub own_name: &'a str,
+    /// The times that leases go by.
+    pub lease: LeaseSettings,
+    /// The longest deadline of a request, in milliseconds.
+    pub max_deadline_ms: f64,
+    /// Says when the event bus was last read up to its end.
+    pub counters: Arc<Counters>,
+}
+
+/// What this front hears of other sites.
+pub struct SiteWatch {
+    failover: Arc<SiteFailover>,
+    monitor: SiteHealthMonitor,
+    site_of_front: BTreeMap<FrontId, SiteId>,
+    probes: Receiver<probe::Heard>,
+    counters: Arc<Counters>,
+    /// Since when its own site is in contact again, Unix milliseconds.
+    recovering_since_ms: Option<u64>,
+}
+
+impl SiteWatch {
+    /// Starts the probes of other sites' cache nodes, and the planner.
+    ///
+    /// # Errors
+    /// If the file's sites can't be used, or a thread can't be started.
+    pub fn start(watch: SiteWatchConfig) -> Result<SiteWatch, StartError> {
+        let SiteWatchConfig { config, table, failover: settings, own_name, lease, .. } = watch;
+        let sites = Sites::of(table, &config.site).map_err(StartError::Config)?;
+        let failover = SiteFailover::start(FailoverConfig {
+            sites,
+            fronts: config.fronts_of_sites(),
+            own_name: own_name.to_owned(),
+            lease,
+            key_lifetime: watch.max_deadline_ms * LIVES,
+            max_wait: table.refused_ms,
+        })
+        .map_err(StartError::io("site-plans"))?;
+        let timeout = Duration::from_secs_f64(table.silence_ms / 1000.0);
+        let sites = config.site.iter().enumerate().map(|(place, entry)| (SiteId(place as u16), entry));
+        let others: Vec<_> = sites.filter(|(site, _)| Some(*site) != failover.own_site()).collect();
+        let (heard, probes) = bounded(PROBE_QUEUE);
+        let caches = others.iter().map(|(site, entry)| (*site, entry.boxes.clone())).collect();
+        probe::start(caches, timeout, &heard).map_err(StartError::io("site-probe"))?;
+        let others = others.iter().map(|(site, _)| *site);
+        let now = clock::both().monotonic;
+        Ok(SiteWatch {
+            failover,
+            monitor: SiteHealthMonitor::new(timeout.as_micros() as u64, others, now),
+            site_of_front: settings.site_of_front.clone(),
+            probes,
+            counters: watch.counters,
+            recovering_since_ms: None,
+        })
+    }
+
+    /// What follows from the agreed view, for clients and keys.
+    pub fn failover(&self) -> &Arc<SiteFailover> {
+        &self.failover
+    }
+
+    /// What is reported now; `heard_fronts` are those that were heard since the last report.
+    pub fn report(&mut self, heard_fronts: Vec<FrontId>, own: OwnSiteState, now: Clocks) -> SiteReport {
+        for front in heard_fronts {
+            if let Some(site) = self.site_of_front.get(&front) {
+                self.monitor.on_front_heard(*site, front.0, now.monotonic);
+            }
+        }
+        while let Ok(heard) = self.probes.try_recv() {
+            self.monitor.on_cache_answered(heard.site, ANY_CACHE, heard.timeliness, now.monotonic);
+        }
+        let current = self.failover.current();
+        let view = current.view();
+        let own_phase = self.failover.own_site().zip(view).map(|(own, view)| view.phase(own));
+        self.recovering_since_ms = match own_phase {
+            Some(RecoveryPhase::Lost) | None => None,
+            Some(_) => self.recovering_since_ms.or(Some(now.wall / 1000)),
+        };
+        let bus_read_at_ms = self.counters.bus_heard.load(Relaxed);
+        SiteReport {
+            opinions: self.monitor.opinions(now.monotonic),
+            view_revision: view.map(|view| view.revision),
+            has_caught_up: self.recovering_since_ms.is_some_and(|since| bus_read_at_ms > since),
+            caches_warm: own.caches_warm,
+            is_overloaded: own.overloaded,
+        }
+    }
+}
--- a/front/src/lifecycle/serve.rs
+++ b/front/src/lifecycle/serve.rs
@@ -19,6 +19,7 @@
 use crate::exchange::Input;
 use crate::fleet;
 use crate::fleet::config::FleetConfig;
+use crate::fleet::FleetStart;
 use crate::lifecycle::cells::CellsInForce;
 use crate::lifecycle::edge::Edge;
 use crate::lifecycle::handover::{self, Handover, Run};
@@ -94,8 +95,8 @@
     let engine = Engine::new(config.settings.clone(), config.seed, pool, counters.clone()).naming(names);
     let (fleet, engine, sites) = match begin_fleet(&second.fleet, &config, &inputs, &counters)? {
         None => (None, engine, None),
-        Some(fleet::Started { fleet, budgets, working, watched }) => {
-            (Some(fleet), engine.with_budgets(Some(budgets)).keeping_off(working), watched)
+        Some(fleet::Started { fleet, budgets, maintenance, sites }) => {
+            (Some(fleet), engine.with_budgets(Some(budgets)).with_maintenance(maintenance), sites)
         }
     };
     let stopped = start_engine(engine, events)?;
@@ -300,9 +301,15 @@
     }
     let read = FleetConfig::load(file)?;
     fleet::log(read.log);
-    fleet::start(&read, &config.name, config.longest_deadline, secret(), inputs.clone(), counters.clone())
-        .map(Some)
-        .map_err(|why| format!("fleet: {why}"))
+    let start = FleetStart {
+        config: &read,
+        name: &config.name,
+        max_deadline_ms: config.longest_deadline,
+        seed: secret(),
+        inputs: inputs.clone(),
+        counters: counters.clone(),
+    };
+    fleet::start(start).map(Some).map_err(|why| format!("fleet: {why}"))
 }
 
 fn start_engine(engine: Engine<Pool>, events: Receiver<Input>) -> Result<Receiver<()>, String> {
