--- /dev/null
+++ b/front/src/engine/attempts.rs
@@ -0,0 +1,260 @@
+//! Attempts from the router's decision to their outcome: sending, filling, giving up, and the retry budget they draw on.
+
+use std::sync::atomic::Ordering::Relaxed;
+
+use elmtide::{Action, Event, MemberId, Ms, Note, Outcome, Repeat, RequestId};
+use elmtide_cells::Ended;
+
+use super::budget_client::RETRIES;
+use super::timers::Timer;
+use super::{priority_if, Engine};
+use crate::exchange::{Answer, AttemptKey, Copy, Order, Progress, Upstream};
+use crate::memory::exchanges::Exchanges;
+
+/// A repeat is on its way so long before what an earlier attempt did may be forgotten: it has to get there.
+const IDEMPOTENCY_KEY_MARGIN_MS: Ms = 5.0;
+
+impl<U: Upstream> Engine<U> {
+    /// What concerns each router.
+    pub(super) fn dispatch_to_all(&mut self, event: &Event) {
+        for router in 0..self.routers.len() {
+            self.dispatch(router, event.clone());
+        }
+    }
+
+    /// Gives a router an event and does what it says.
+    pub(super) fn dispatch(&mut self, router: usize, event: Event) {
+        if self.maintenance.as_ref().is_some_and(|w| w.turned()) {
+            self.exclude_servers_under_maintenance();
+        }
+        let mut actions = std::mem::take(&mut self.actions);
+        match &self.budgets {
+            Some(budgets) => {
+                if budgets.lease_has_changed() {
+                    self.update_slow_start_shares();
+                }
+                self.handle_with_retry_budget(router, event, &mut actions)
+            }
+            None => self.routers[router].handle(self.now, event, &mut actions),
+        }
+        for action in actions.drain(..) {
+            self.carry_out(router, action);
+        }
+        self.actions = actions;
+    }
+
+    /// A router whose further attempts come from a budget of all fronts: it is lent what may be spent at this very moment,
+    /// and what it used is spent by the same clocks, before anything is sent.
+    pub(super) fn handle_with_retry_budget(
+        &mut self,
+        router: usize,
+        event: Event,
+        actions: &mut Vec<Action>,
+    ) {
+        // Nothing else starts an attempt.
+        let may_try = matches!(event, Event::Request(_) | Event::Reply { .. } | Event::Timer { .. });
+        let Some(budgets) = self.budgets.as_mut().filter(|b| may_try && b.has_budget(RETRIES)) else {
+            return self.routers[router].handle(self.now, event, actions);
+        };
+        let lent = budgets.available(RETRIES).floor();
+        self.routers[router].lend(lent);
+        self.routers[router].handle(self.now, event, actions);
+        let used = lent - self.routers[router].lend(0.0);
+        if used <= 0.0 && lent >= 1.0 {
+            return;
+        }
+        let once = |id: &RequestId, exchanges: &Exchanges| exchanges.get(*id).is_some_and(|e| e.passed.once);
+        let high = |exchanges: &Exchanges| {
+            actions.iter().any(|a| matches!(a, Action::Serve { id, .. } if once(id, exchanges)))
+        };
+        let high = high(&self.exchanges);
+        for _ in 0..used as u64 {
+            budgets.try_spend(RETRIES, priority_if(high));
+        }
+        // What was given up after an attempt, while there was nothing to spend, wanted one more.
+        for action in actions.iter() {
+            let (Action::Refuse { id, .. } | Action::Fail { id }) = action else { continue };
+            let tried = self.exchanges.get(*id).is_some_and(|e| e.has_been_sent());
+            if lent < 1.0 && tried {
+                let priority = priority_if(once(id, &self.exchanges));
+                budgets.note_unmet_demand(RETRIES, priority);
+            }
+        }
+    }
+
+    pub(super) fn carry_out(&mut self, router: usize, action: Action) {
+        match action {
+            Action::Serve { .. } => self.begin_attempt(router, action),
+            Action::Cancel { id, attempt } => {
+                self.abandon_attempt(AttemptKey { id, attempt }, |_| Outcome::Cancelled)
+            }
+            Action::Refuse { id, retry_after } => {
+                let wait_ms = retry_after.map(|ms| ms.max(0.0) as u64);
+                self.reject(id, wait_ms);
+                self.release_admission(id, Ended::Lost);
+            }
+            Action::Fail { id } => {
+                if self.exchanges.answer(id, Answer::Failed) {
+                    self.counters.failed.fetch_add(1, Relaxed);
+                }
+                self.release_admission(id, Ended::Lost);
+            }
+            Action::SetTimer { delay, token } => {
+                self.timers.schedule(self.now + delay.max(0.0), Timer::Router(router, token.0));
+            }
+            Action::Probe { member } => {
+                if !self.upstream.probe(member) {
+                    self.unreached.push_back(member);
+                }
+            }
+            // The event bus is followed from the start.
+            Action::Subscribe => {}
+        }
+    }
+
+    /// Whether a request of this router may have a miss filled from what is common. What never is kept has to be run
+    /// there, and is not held back by it.
+    pub(super) fn may_fill_in_cell(&mut self, router: usize, write: bool) -> bool {
+        let now = self.now;
+        let Some(cells) = self.cells.as_mut().filter(|_| !write) else { return true };
+        cells.cell(router).is_none_or(|cell| cells.cells.may_fill(cell, now))
+    }
+
+    /// The source, if what belongs to all fronts allows a fill from it. What never is kept is no fill: it has to be run
+    /// there.
+    pub(super) fn reserve_fill(
+        &mut self,
+        key: AttemptKey,
+        cache: MemberId,
+        source: Option<MemberId>,
+        write: bool,
+    ) -> Option<MemberId> {
+        let Some(budgets) = &mut self.budgets else { return source };
+        let work = self.exchanges.get(key.id).and_then(|e| e.work);
+        budgets.note_work_sent(source.is_some_and(|s| s != cache), work, priority_if(write));
+        let from = source.filter(|_| !write);
+        let Some(kind) = from.map(|from| self.endpoints.kind(from)) else { return source };
+        let from_origin = kind.is_some() && kind == self.settings.origin_kind;
+        source.filter(|_| budgets.try_reserve_fill(key, from_origin, priority_if(write)))
+    }
+
+    /// Sends an attempt as the router has decided it.
+    fn begin_attempt(&mut self, router: usize, action: Action) {
+        let Action::Serve { id, cache, source, rank, max_age, mode, timeout } = action else { return };
+        let now = self.now;
+        let Some(exchange) = self.exchanges.get_mut(id) else { return };
+        let class = self.settings.classes.get(usize::from(exchange.class.0));
+        let guarded = class.is_none_or(|class| class.repeat != Repeat::Safe);
+        let key_window =
+            class.filter(|class| class.repeat == Repeat::Keyed).and_then(|class| class.key_window);
+        let key_expires =
+            exchange.first_run().zip(key_window).map(|(first_sent, window)| first_sent + window);
+        let write_by = key_expires.map(|at| at - IDEMPOTENCY_KEY_MARGIN_MS);
+        let attempt = exchange.begin_attempt(now, cache);
+        let key = AttemptKey { id, attempt };
+        let passed = exchange.passed.clone();
+        let timeout = timeout.min(exchange.deadline - now);
+        if timeout <= 0.0 {
+            self.ended.push_back((key, Outcome::Moot));
+            return;
+        }
+        self.timers.schedule(now + timeout, Timer::Attempt(id.0, attempt.0));
+        self.counters.sent.fetch_add(1, Relaxed);
+        let may_fill = self.may_fill_in_cell(router, passed.write);
+        let source = Some(source).filter(|source| *source != cache && may_fill);
+        let source = self.reserve_fill(key, cache, source, passed.write);
+        self.note_servers_in_use(key, cache, source);
+        let order = Order { key, passed, cache, source, rank, max_age, mode, timeout, write_by, guarded };
+        if let Err(progress) = self.upstream.send(&order) {
+            self.ended.push_back((key, progress.broken()));
+        }
+    }
+
+    /// Maintenance has to know which servers an attempt uses.
+    fn note_servers_in_use(&mut self, key: AttemptKey, cache: MemberId, source: Option<MemberId>) {
+        let Some(maintenance) = &mut self.maintenance else { return };
+        let exchange = self.exchanges.get_mut(key.id);
+        let work = exchange.as_ref().and_then(|exchange| exchange.work);
+        if let (Some(exchange), Some(source)) = (exchange, source) {
+            exchange.fills_from(key.attempt, source);
+        }
+        let servers: Vec<MemberId> = [Some(cache), source].into_iter().flatten().collect();
+        maintenance.sent(&servers, work);
+    }
+
+    pub(super) fn abandon_attempt(&mut self, key: AttemptKey, outcome: impl FnOnce(Progress) -> Outcome) {
+        let out = self.exchanges.get_mut(key.id).is_some_and(|e| e.is_out(key.attempt));
+        if let Some(progress) = out.then(|| self.upstream.give_up(key)).flatten() {
+            self.ended.push_back((key, outcome(progress)));
+        }
+    }
+
+    /// An attempt has ended, whoever found it out.
+    pub(super) fn finish_attempt(
+        &mut self,
+        key: AttemptKey,
+        outcome: Outcome,
+        note: Note,
+        copy: Option<Copy>,
+    ) {
+        let Some(exchange) = self.exchanges.get_mut(key.id) else { return };
+        let Some((sent, to)) = exchange.end_attempt(key.attempt) else { return };
+        let mut served = false;
+        exchange.may_have_run |= !matches!(outcome, Outcome::ConnectFailed | Outcome::Moot);
+        let never = [Outcome::ConnectFailed, Outcome::Moot, Outcome::Full, Outcome::Miss];
+        if !never.contains(&outcome) {
+            exchange.ran(sent);
+        }
+        self.upstream.ended(key);
+        if outcome == Outcome::Ok {
+            let copy = copy.unwrap_or(Copy { bytes: Vec::new(), digest: None, client_has_it: false });
+            if exchange.answer(Answer::Served(copy)) {
+                self.counters.served.fetch_add(1, Relaxed);
+                served = true;
+            }
+        }
+        let router = exchange.router;
+        self.counters.outcome(outcome);
+        self.failing.heard(to, outcome);
+        if let Some(maintenance) = self.maintenance.as_mut().filter(|_| outcome == Outcome::Ok) {
+            maintenance.served(to);
+        }
+        let settled = exchange.is_answered();
+        let (id, attempt) = (key.id, key.attempt);
+        let latency = self.now - sent;
+        self.note_cell_fill(router, note);
+        if let Some(budgets) = &mut self.budgets {
+            // Where nothing is told, a served or unknown end is taken for a fill.
+            let unsent =
+                matches!(outcome, Outcome::ConnectFailed | Outcome::Moot | Outcome::Miss | Outcome::Full);
+            let held = matches!(note, Note::Hit | Note::Stale | Note::Joined);
+            budgets.resolve_fill(key, !(unsent || held), !matches!(note, Note::Filled));
+        }
+        self.dispatch(router, Event::Reply { id, attempt, outcome, latency, settled, note });
+        if served {
+            self.release_admission(id, Ended::Served);
+        }
+        self.exchanges.settle(id);
+    }
+
+    /// A miss was filled from what is common.
+    pub(super) fn note_cell_fill(&mut self, router: usize, note: Note) {
+        let now = self.now;
+        let Some(cells) = self.cells.as_mut().filter(|_| matches!(note, Note::Filled | Note::FilledByOrigin))
+        else {
+            return;
+        };
+        if let Some(cell) = cells.cell(router) {
+            cells.cells.filled(cell, now);
+        }
+    }
+
+    pub(super) fn finish_ended_attempts(&mut self) {
+        while let Some(member) = self.unreached.pop_front() {
+            self.dispatch_to_all(&Event::Probed { member, outcome: Outcome::ConnectFailed, latency: 0.0 });
+        }
+        while let Some((key, outcome)) = self.ended.pop_front() {
+            self.finish_attempt(key, outcome, Note::Absent, None);
+        }
+    }
+}
--- a/front/src/engine/cells.rs
+++ b/front/src/engine/cells.rs
@@ -1,99 +1,15 @@
 //! Cells in service: each cell has a router of its own over its own list; what is common (parents, origin, drains and
 //! purges) is told to all, and what they may fill from it has one owner, `elmtide_cells`.
 
-use std::collections::{BTreeMap, BTreeSet, HashMap};
-use std::net::SocketAddr;
-use std::sync::Arc;
+use std::collections::HashMap;
 
-use elmtide::{Availability, Event, ListNews, Listing, MemberId, Ms, Request, RequestId, Settings};
+use elmtide::{Availability, Event, ListNews, Listing, Ms, Request, RequestId, Settings};
 use elmtide_cells::{CellIx, Cells, Layout, ShopId};
 
-use crate::exchange::MembersNews;
+use super::endpoint_set::{Endpoint, EndpointSet};
 
-/// Members remembered for routers to come.
-const MOST: usize = 4096;
 /// Routers at most, those of cells that are no more included.
-const ROUTERS: usize = 128;
-
-/// All members as the lists have named them last.
-#[derive(Debug, Default)]
-pub struct Listed(BTreeMap<MemberId, (Listing, Arc<str>, Option<SocketAddr>)>, BTreeSet<MemberId>);
-
-impl Listed {
-    pub fn learn(&mut self, news: &MembersNews, event: &Event) {
-        let Event::List { entries, .. } = event else { return };
-        if news.full {
-            for (listing, ..) in self.0.values_mut() {
-                listing.availability = Availability::Gone;
-            }
-        }
-        for listing in entries {
-            let member = news.members.iter().find(|m| m.member == listing.member);
-            let known = self.0.get(&listing.member).map(|(_, name, addr)| (name.clone(), *addr));
-            let Some((name, addr)) = member.map(|m| (m.name.clone(), m.addr)).or(known) else { continue };
-            self.0.insert(listing.member, (*listing, name, addr));
-        }
-        if self.0.len() > MOST {
-            self.0.retain(|_, (listing, ..)| listing.availability != Availability::Gone);
-        }
-    }
-
-    /// These drain, whatever their lists say: their machines are out for work.
-    pub fn keep_off(&mut self, off: BTreeSet<MemberId>) {
-        self.1 = off;
-    }
-
-    fn overruled(&self, listing: &Listing) -> Listing {
-        match listing.availability == Availability::Ready && self.1.contains(&listing.member) {
-            true => Listing { availability: Availability::Draining, ..*listing },
-            false => *listing,
-        }
-    }
-
-    /// A list as those that are kept off have it.
-    pub fn kept_off(&self, event: Event) -> Event {
-        match event {
-            Event::List { news, mut entries } if !self.1.is_empty() => {
-                entries.iter_mut().for_each(|e| *e = self.overruled(e));
-                Event::List { news, entries }
-            }
-            event => event,
-        }
-    }
-
-    /// The listings of some members, as they are to be told.
-    pub fn of(&self, members: &[MemberId]) -> Vec<Listing> {
-        let known = members.iter().filter_map(|m| self.0.get(m));
-        known.map(|(listing, ..)| self.overruled(listing)).collect()
-    }
-
-    /// All listings as the lists have them, of those that are gone too.
-    pub fn all_listings(&self) -> Vec<Listing> {
-        self.0.values().map(|(l, ..)| *l).collect()
-    }
-
-    /// Whether the member is there and may be sent new work.
-    pub fn is_ready(&self, member: MemberId) -> bool {
-        let listing = self.0.get(&member).map(|(listing, ..)| self.overruled(listing));
-        listing.is_some_and(|l| l.availability == Availability::Ready)
-    }
-
-    pub fn kind(&self, member: MemberId) -> Option<elmtide::KindId> {
-        self.0.get(&member).map(|(l, ..)| l.kind)
-    }
-
-    /// The listings of the members in the list now.
-    pub fn present_listings(&self) -> Vec<Listing> {
-        let listed = self.0.values().filter(|(l, ..)| l.availability != Availability::Gone);
-        listed.map(|(l, ..)| self.overruled(l)).collect()
-    }
-
-    /// The members in the list now, each with whether it takes new work.
-    pub fn present(&self) -> impl Iterator<Item = (MemberId, bool)> + '_ {
-        let listed = self.0.iter().filter(|(_, (l, ..))| l.availability != Availability::Gone);
-        listed.map(|(member, (l, ..))| (*member, self.overruled(l).availability == Availability::Ready))
-    }
-}
+const MAX_CELL_ROUTERS: usize = 128;
 
 /// One router's part of the fleet: a cell, or the shard of it that some shops have.
 #[derive(Clone, Debug, PartialEq)]
@@ -105,7 +21,7 @@
 }
 
 /// What the engine keeps while there are cells.
-pub struct InCells {
+pub struct CellRouting {
     pub cells: Cells,
     parts: Vec<Part>,
     /// What each router was made for; the first is of the time without cells.
@@ -142,10 +58,15 @@
     pub sharing: usize,
 }
 
-impl InCells {
+impl CellRouting {
     /// With the routers that there are, by what they were made for.
-    pub fn new(layout: Layout, seed: u64, now: Ms, names: Vec<String>) -> InCells {
-        InCells { cells: Cells::new(layout, seed, now), parts: Vec::new(), names, waiting: HashMap::new() }
+    pub fn new(layout: Layout, seed: u64, now: Ms, names: Vec<String>) -> CellRouting {
+        CellRouting {
+            cells: Cells::new(layout, seed, now),
+            parts: Vec::new(),
+            names,
+            waiting: HashMap::new(),
+        }
     }
 
     /// Gives each cell and shard of the layout in force a router; those that have none yet are returned, in order.
@@ -161,8 +82,8 @@
             if !wanted.contains(&part) {
                 wanted.push(part);
             }
-            if wanted.len() > ROUTERS {
-                return Err(format!("over {ROUTERS} different cells and shards"));
+            if wanted.len() > MAX_CELL_ROUTERS {
+                return Err(format!("over {MAX_CELL_ROUTERS} different cells and shards"));
             }
         }
         let sharing = |cell: CellIx| wanted.iter().filter(|(c, _)| *c == cell).count();
@@ -178,8 +99,11 @@
             });
             parts.push(Part { cell: *cell, shard: shard.clone(), router });
         }
-        if names.len() > 2 * ROUTERS {
-            return Err(format!("over {} cells and shards since the start: restart the front", 2 * ROUTERS));
+        if names.len() > 2 * MAX_CELL_ROUTERS {
+            return Err(format!(
+                "over {} cells and shards since the start: restart the front",
+                2 * MAX_CELL_ROUTERS
+            ));
         }
         (self.names, self.parts) = (names, parts);
         Ok(fresh)
@@ -201,23 +125,23 @@
     }
 
     /// The list for each router, and how many boxes of each cell are ready. A cache node that no cell has is nobody's.
-    pub fn lists(&self, listed: &Listed, set: &Settings) -> (Vec<(usize, Vec<Listing>)>, Vec<usize>) {
+    pub fn lists(&self, endpoints: &EndpointSet, set: &Settings) -> (Vec<(usize, Vec<Listing>)>, Vec<usize>) {
         let layout = self.cells.layout();
         let common = |l: &Listing| Some(l.kind) == set.parent_kind || Some(l.kind) == set.origin_kind;
         let mut ready = vec![0; layout.cells().len()];
         let mut lists: Vec<(usize, Vec<Listing>)> =
             self.parts.iter().map(|p| (p.router, Vec::new())).collect();
-        for (listing, name, addr) in listed.0.values() {
-            let listing = &listed.overruled(listing);
+        for Endpoint { listing, name, addr } in endpoints.effective_endpoints() {
+            let listing = &listing;
             if common(listing) {
                 lists.iter_mut().for_each(|(_, list)| list.push(*listing));
                 continue;
             }
             let by_address = || layout.cell_of_box(&addr.as_ref()?.to_string());
-            let Some(cell) = layout.cell_of_box(name).or_else(by_address) else { continue };
+            let Some(cell) = layout.cell_of_box(&name).or_else(by_address) else { continue };
             let boxes = &layout.cells()[usize::from(cell.0)].boxes;
             let addr = addr.map(|a| a.to_string());
-            let place = boxes.iter().position(|b| **b == **name || Some(b) == addr.as_ref());
+            let place = boxes.iter().position(|b| **b == *name || Some(b) == addr.as_ref());
             for (part, (_, list)) in self.parts.iter().zip(&mut lists) {
                 let has = part.shard.as_ref().is_none_or(|s| place.is_some_and(|p| s.contains(&p)));
                 if part.cell == cell && has {
--- a/front/src/engine/tests.rs
+++ b/front/src/engine/tests.rs
@@ -1,11 +1,17 @@
 //! The engine by itself: inputs in, orders and answers out, with ways to nodes that do as the test says.
 
 use std::sync::Mutex;
+use std::time::Duration;
 
 use crossbeam_channel::{bounded, unbounded};
-use elmtide::{Availability, ClassId, ClassSettings, ListNews, Listing, MemberId, ObjectId, PurgeGroup};
+use elmtide::{
+    Availability, ClassId, ClassSettings, ListNews, Listing, MemberId, ObjectId, PurgeGroup, Repeat,
+    RequestId,
+};
+use elmtide_cells::Layout;
 
 use super::*;
+use crate::exchange::*;
 use crate::memory::budget::Budget;
 
 /// A way to nodes on which nothing ever comes back, and attempts are written whole or not at all.
@@ -114,7 +120,7 @@
     let rules = |deadline| ClassSettings { aim: 100.0, deadline, ..ClassSettings::default() };
     let settings = Settings { classes: vec![rules(400.0)], max_attempts: Some(4), ..Settings::default() };
     let engine = Engine::new(settings, 1, Silent(true), Arc::default());
-    let mut engine = engine.naming(vec!["a".into()]);
+    let mut engine = engine.with_class_names(vec!["a".into()]);
     let class = |name: &str, id| Class {
         name: name.into(),
         id: ClassId(id),
@@ -131,7 +137,7 @@
             ..Settings::default()
         };
         let done = Box::new(move |t| to.send(t).unwrap());
-        engine.take(Input::Retune(Box::new(Retune { settings, classes, done })));
+        engine.handle(Input::Reconfigure(Box::new(Reconfiguration { settings, classes, done })));
         let table: Vec<(String, u16)> =
             taken.recv().unwrap().unwrap().iter().map(|c| (c.name.to_string(), c.id.0)).collect();
         table
@@ -144,7 +150,7 @@
     let table = retune(&mut engine, vec![class("a", 0)], &[700.0]);
     assert_eq!(table, [("a".to_string(), 2)], "a class whose rules changed is a new one");
     assert_eq!(engine.settings.classes.len(), 3, "ids are never taken back: open requests keep their rules");
-    assert!(engine.routers.len() <= ROUTERS);
+    assert!(engine.routers.len() <= MAX_ROUTERS);
 }
 /// What the engine sent on: the age cap of each order.
 struct Recording(Arc<Mutex<Vec<Option<Ms>>>>);
@@ -183,7 +189,7 @@
     let settings = Settings { classes: vec![class], origin_kind: origin, ..Settings::default() };
     let sent = Arc::new(Mutex::new(Vec::new()));
     let engine = Engine::new(settings.clone(), 1, Recording(sent.clone()), Arc::default());
-    let mut engine = engine.naming(vec!["a".into()]);
+    let mut engine = engine.with_class_names(vec!["a".into()]);
     let (member, weight, zone, kind) = (MemberId(1), 1.0, Default::default(), Default::default());
     let (cell, born, availability) = (Default::default(), None, Availability::Ready);
     let listing = Listing { member, weight, zone, kind, cell, born, availability };
@@ -193,13 +199,13 @@
         |member, name: &str| MemberNews { member, name: name.into(), addr: None, born: None, gone: false };
     let members = vec![named(MemberId(1), "s-1"), named(MemberId(2), "o-1")];
     let news = MembersNews { full: true, members };
-    engine.take(Input::Listed { from: ListSource::Bus, news, event });
+    engine.handle(Input::Listed { from: ListSource::Bus, news, event });
     let now = clock::unix_ms();
-    engine.take(Input::Purged { object: Some(ObjectId(7)), group: PurgeGroup(0), at: now });
+    engine.handle(Input::Purged { object: Some(ObjectId(7)), group: PurgeGroup(0), at: now });
     let a =
         Class { name: "a".into(), id: ClassId(0), write: false, once: false, keyed: false, deadline: 2000.0 };
     let done = Box::new(|taken: Result<Vec<Class>, String>| assert!(taken.is_ok()));
-    engine.take(Input::Retune(Box::new(Retune { settings, classes: vec![a], done })));
+    engine.handle(Input::Reconfigure(Box::new(Reconfiguration { settings, classes: vec![a], done })));
     let word = |text: &str| crate::exchange::Token::new(text.as_bytes()).unwrap();
     for (id, object) in [(1, 7), (2, 8)] {
         let incoming = Incoming {
@@ -226,7 +232,7 @@
             }),
             responder: Responder::new(|_| {}),
         };
-        engine.take(Input::Taken(incoming));
+        engine.handle(Input::Taken(incoming));
     }
     let sent = sent.lock().unwrap().clone();
     assert_eq!(sent.len(), 2, "{sent:?}");
@@ -372,7 +378,7 @@
         ..Settings::default()
     };
     let mut engine = Engine::new(settings, 7, way.clone(), Arc::default());
-    engine.take(listed(&[
+    engine.handle(listed(&[
         (MemberId(1), Availability::Ready),
         (MemberId(2), Availability::Ready),
         (ORIGIN, Availability::Ready),
@@ -388,8 +394,8 @@
         let way = Waiting::default();
         let (mut engine, answers) = engine_with(&way, Repeat::Safe, cancel);
         for id in 1..=1000 {
-            engine.take(request(id, 60_000.0, &answers));
-            engine.take(Input::Abandoned(RequestId(id)));
+            engine.handle(request(id, 60_000.0, &answers));
+            engine.handle(Input::Abandoned(RequestId(id)));
             assert!(way.out.lock().unwrap().is_empty(), "request {id}, calling off {cancel}");
         }
         let sent = way.happened().iter().filter(|h| matches!(h, Happened::Sent(..))).count();
@@ -406,9 +412,9 @@
     for (written, answers_given) in [(false, 1), (true, 0)] {
         let way = Waiting { written_at_once: written, ..Waiting::default() };
         let (mut engine, answers) = engine_with(&way, Repeat::Unsafe, true);
-        engine.take(request(1, 60_000.0, &answers));
-        engine.still_unsent(RequestId(1));
-        engine.settle_ended();
+        engine.handle(request(1, 60_000.0, &answers));
+        engine.reject_if_unsent(RequestId(1));
+        engine.finish_ended_attempts();
         assert_eq!(answers.lock().unwrap().len(), answers_given, "written {written}");
         let left = usize::from(written);
         assert_eq!(way.out.lock().unwrap().len(), left, "a refused one is never written");
@@ -421,19 +427,19 @@
 fn what_waits_for_a_node_that_begins_to_drain_goes_elsewhere_at_once() {
     let way = Waiting::default();
     let (mut engine, answers) = engine_with(&way, Repeat::Unsafe, false);
-    (1..=8).for_each(|id| engine.take(request(id, 60_000.0, &answers)));
+    (1..=8).for_each(|id| engine.handle(request(id, 60_000.0, &answers)));
     let to = |way: &Waiting| -> Vec<MemberId> {
         way.out.lock().unwrap().iter().filter_map(|(_, members)| members[0]).collect()
     };
     assert!(to(&way).contains(&MemberId(1)) && to(&way).contains(&MemberId(2)), "{:?}", to(&way));
-    engine.take(listed(&[
+    engine.handle(listed(&[
         (MemberId(1), Availability::Draining),
         (MemberId(2), Availability::Ready),
         (ORIGIN, Availability::Ready),
     ]));
     assert!(to(&way).iter().all(|m| *m == MemberId(2)), "{:?}", to(&way));
     assert_eq!(to(&way).len(), 8, "none is lost: {:?}", answers.lock().unwrap());
-    engine.take(listed(&[(MemberId(2), Availability::Ready), (ORIGIN, Availability::Draining)]));
+    engine.handle(listed(&[(MemberId(2), Availability::Ready), (ORIGIN, Availability::Draining)]));
     let fills = way.out.lock().unwrap().iter().filter(|(_, m)| m[1] == Some(ORIGIN)).count();
     assert_eq!(fills, 0, "nor is a fill asked of a source that drains");
 }
@@ -444,9 +450,9 @@
     let way = Waiting::default();
     let (mut engine, answers) = engine_with(&way, Repeat::Keyed, true);
     let before = clock::unix_ms();
-    engine.take(request(1, 60_000.0, &answers));
+    engine.handle(request(1, 60_000.0, &answers));
     let Happened::Sent(key, _) = way.happened()[0] else { panic!("{:?}", way.happened()) };
-    engine.take(Input::Returned { key, returned: Returned::Broke(Progress::Whole) });
+    engine.handle(Input::Returned { key, returned: Returned::Broke(Progress::Whole) });
     let by = way.write_by.lock().unwrap().clone();
     assert_eq!((by.len(), by[0]), (2, None), "{by:?}");
     let window = by[1].expect("a repeat has a last moment") - before;
@@ -455,9 +461,9 @@
     // What never ran is no repeat.
     let way = Waiting::default();
     let (mut engine, answers) = engine_with(&way, Repeat::Keyed, true);
-    engine.take(request(1, 60_000.0, &answers));
+    engine.handle(request(1, 60_000.0, &answers));
     let Happened::Sent(key, _) = way.happened()[0] else { panic!("{:?}", way.happened()) };
-    engine.take(Input::Returned { key, returned: Returned::Broke(Progress::NotConnected) });
+    engine.handle(Input::Returned { key, returned: Returned::Broke(Progress::NotConnected) });
     assert_eq!(*way.write_by.lock().unwrap(), [None, None]);
 }
 
@@ -477,7 +483,7 @@
             elmtide_cells::Cell { name: "a".into(), boxes, weight: 1.0, source_share: 1.0, evacuate: false };
         let limits = elmtide_cells::Limits { fills: 1e-9, ..Default::default() };
         let layout = Layout::new(vec![cell], Vec::new(), limits).unwrap();
-        engine.take(Input::Cells(Some(Box::new(layout))));
+        engine.handle(Input::Cells(Some(Box::new(layout))));
         let now = engine.now;
         let cells = &mut engine.cells.as_mut().unwrap().cells;
         (0..100).for_each(|_| cells.filled(elmtide_cells::CellIx(0), now));
@@ -485,7 +491,7 @@
         if let Some(passed) = Arc::get_mut(&mut incoming.passed) {
             (passed.once, passed.write) = (repeat == Repeat::Unsafe, write);
         }
-        engine.take(Input::Taken(incoming));
+        engine.handle(Input::Taken(incoming));
         let sources: Vec<Option<MemberId>> = way.out.lock().unwrap().iter().map(|(_, m)| m[1]).collect();
         assert_eq!(sources, [wanted], "{repeat:?}, write {write}");
     }
@@ -516,33 +522,33 @@
         longest: 60_000.0,
         ..Default::default()
     };
-    engine.take(Input::Cells(Some(Box::new(Layout::new(vec![cell], Vec::new(), limits).unwrap()))));
-    engine.take(request(1, 60_000.0, &answers));
+    engine.handle(Input::Cells(Some(Box::new(Layout::new(vec![cell], Vec::new(), limits).unwrap()))));
+    engine.handle(request(1, 60_000.0, &answers));
     let first = way.happened();
     let Some(Happened::Sent(key, _)) = first.first().copied() else { panic!("{first:?}") };
     // One at a time, then many at once: more than the table of exchanges holds go through in all.
     let budget = Budget::new(900);
     for id in 2..=600 {
-        engine.take(holding(&budget, 900, request(id, 60_000.0, &answers)));
-        engine.take(Input::Abandoned(RequestId(id)));
+        engine.handle(holding(&budget, 900, request(id, 60_000.0, &answers)));
+        engine.handle(Input::Abandoned(RequestId(id)));
     }
     for id in 601..=1500 {
-        engine.take(holding(&budget, 1, request(id, 60_000.0, &answers)));
+        engine.handle(holding(&budget, 1, request(id, 60_000.0, &answers)));
     }
     assert_eq!(way.happened(), first, "all wait: the cell runs one");
     for id in (601..=1500).rev() {
-        engine.take(Input::Abandoned(RequestId(id)));
+        engine.handle(Input::Abandoned(RequestId(id)));
     }
     let copy = Some(Copy { bytes: vec![], digest: None, client_has_it: false });
     let returned = Returned::Answered { outcome: Outcome::Ok, note: elmtide::Note::Hit, copy };
-    engine.take(Input::Returned { key, returned });
-    engine.pass_cells();
+    engine.handle(Input::Returned { key, returned });
+    engine.advance_cells();
     assert_eq!(way.happened(), first, "nobody is left to be started");
     assert_eq!(answers.lock().unwrap().len(), 1, "only the one that stayed has an answer");
     assert!(budget.held().grow(900), "all that was held is given back");
     assert_eq!(engine.exchanges.unanswered(), 0);
     // Nor does one that left hold the cell's only place.
-    engine.take(request(1501, 60_000.0, &answers));
+    engine.handle(request(1501, 60_000.0, &answers));
     assert_eq!(way.happened().len(), 2);
 }
 
@@ -554,17 +560,17 @@
     let (mut engine, answers) = engine_with(&way, Repeat::Safe, true);
     let budget = Budget::new(7);
     for id in 1..=1000 {
-        engine.take(holding(&budget, 7, request(id, 60_000.0, &answers)));
+        engine.handle(holding(&budget, 7, request(id, 60_000.0, &answers)));
         let at = way.out.lock().unwrap()[0].1[0];
         let other = if at == Some(MemberId(1)) { MemberId(2) } else { MemberId(1) };
         let mode = elmtide::FillMode::default();
         let (id, timeout) = (RequestId(id), 5000.0);
-        engine.act(
+        engine.carry_out(
             0,
             Action::Serve { id, cache: other, source: ORIGIN, rank: 1, max_age: None, mode, timeout },
         );
         assert_eq!(way.out.lock().unwrap().len(), 2);
-        engine.take(Input::Abandoned(id));
+        engine.handle(Input::Abandoned(id));
         assert!(way.out.lock().unwrap().is_empty(), "request {}", id.0);
     }
     assert!(budget.held().grow(7) && answers.lock().unwrap().is_empty());
@@ -583,27 +589,27 @@
         for late in ends {
             let way = Waiting { written_at_once: true, ..Waiting::default() };
             let (mut engine, answers) = engine_with(&way, repeat, true);
-            engine.take(request(1, 60_000.0, &answers));
+            engine.handle(request(1, 60_000.0, &answers));
             let Happened::Sent(key, _) = way.happened()[0] else { panic!("{:?}", way.happened()) };
             let copy = Some(Copy { bytes: vec![1], digest: None, client_has_it: false });
             let returned = Returned::Answered { outcome: Outcome::Ok, note: elmtide::Note::Hit, copy };
-            engine.take(Input::Returned { key, returned });
-            engine.take(Input::Returned { key, returned: late() });
+            engine.handle(Input::Returned { key, returned });
+            engine.handle(Input::Returned { key, returned: late() });
             assert_eq!(way.happened().len(), 1, "{repeat:?}: sent again");
             assert_eq!(answers.lock().unwrap().len(), 1);
 
             // The other order: the end first. What may not be repeated is failed by a reset; no answer heals that.
             let way = Waiting { written_at_once: true, ..Waiting::default() };
             let (mut engine, answers) = engine_with(&way, repeat, true);
-            engine.take(request(1, 60_000.0, &answers));
+            engine.handle(request(1, 60_000.0, &answers));
             let Happened::Sent(key, _) = way.happened()[0] else { panic!("{:?}", way.happened()) };
-            engine.take(Input::Returned { key, returned: late() });
+            engine.handle(Input::Returned { key, returned: late() });
             let (sent, said) = (way.happened().len(), answers.lock().unwrap().len());
             let ran = !matches!(late(), Returned::Answered { outcome: Outcome::Full, .. });
             assert_eq!(sent == 1, repeat == Repeat::Unsafe && ran, "{repeat:?}");
             let copy = Some(Copy { bytes: vec![1], digest: None, client_has_it: false });
             let returned = Returned::Answered { outcome: Outcome::Ok, note: elmtide::Note::Hit, copy };
-            engine.take(Input::Returned { key, returned });
+            engine.handle(Input::Returned { key, returned });
             assert_eq!((way.happened().len(), answers.lock().unwrap().len()), (sent, said), "{repeat:?}");
         }
     }
@@ -615,7 +621,7 @@
 fn a_reload_that_changes_nothing_keeps_the_router() {
     let way = Waiting::default();
     let (engine, _) = engine_with(&way, Repeat::Safe, true);
-    let mut engine = engine.naming(vec!["a".into()]);
+    let mut engine = engine.with_class_names(vec!["a".into()]);
     let settings = engine.settings.clone();
     let class = Class {
         name: "a".into(),
@@ -628,7 +634,7 @@
     let reload = |engine: &mut Engine<Waiting>, settings: Settings, classes: Vec<Class>| {
         let (to, taken) = bounded(1);
         let done = Box::new(move |table| to.send(table).unwrap());
-        engine.take(Input::Retune(Box::new(Retune { settings, classes, done })));
+        engine.handle(Input::Reconfigure(Box::new(Reconfiguration { settings, classes, done })));
         taken.recv().unwrap().unwrap().len()
     };
     for _ in 0..3 {
@@ -643,7 +649,7 @@
     assert_eq!(reload(&mut engine, other, vec![class]), 1);
     assert_eq!((engine.routers.len(), engine.current), (2, 1));
     assert!(
-        engine.pause(RequestId(1)).is_some_and(|ms| (500..=900).contains(&ms)),
+        engine.retry_after(RequestId(1)).is_some_and(|ms| (500..=900).contains(&ms)),
         "as the new settings say"
     );
 }
@@ -660,15 +666,15 @@
         Arc::get_mut(&mut incoming.passed).unwrap().job = job;
         Input::Taken(incoming)
     };
-    engine.take(again(1));
-    engine.take(again(2));
+    engine.handle(again(1));
+    engine.handle(again(2));
     let Happened::Sent(key, _) = way.happened()[0] else { panic!("{:?}", way.happened()) };
     assert_eq!(way.happened().len(), 1);
     assert_eq!(*answers.lock().unwrap(), [(RequestId(2), Answer::Failed)]);
     let copy = Some(Copy { bytes: vec![], digest: None, client_has_it: false });
     let returned = Returned::Answered { outcome: Outcome::Ok, note: elmtide::Note::Hit, copy };
-    engine.take(Input::Returned { key, returned });
-    engine.take(again(3));
+    engine.handle(Input::Returned { key, returned });
+    engine.handle(again(3));
     assert_eq!((way.happened().len(), answers.lock().unwrap().len()), (2, 2));
 }
 
@@ -680,8 +686,8 @@
         let way = Waiting { written_at_once: written, ..Waiting::default() };
         let (mut engine, answers) = engine_with(&way, Repeat::Unsafe, true);
         for id in 1..=1000 {
-            engine.take(request(id, 60_000.0, &answers));
-            engine.take(Input::Unwanted(RequestId(id)));
+            engine.handle(request(id, 60_000.0, &answers));
+            engine.handle(Input::Unwanted(RequestId(id)));
             let (out, answers) = (way.out.lock().unwrap().len(), answers.lock().unwrap());
             match written {
                 false => {
--- a/front/src/exchange.rs
+++ b/front/src/exchange.rs
@@ -270,7 +270,7 @@
 }
 
 /// Settings that a reload brings.
-pub struct Retune {
+pub struct Reconfiguration {
     pub settings: elmtide::Settings,
     /// The file's classes, with their places in its settings as ids.
     pub classes: Vec<Class>,
@@ -278,9 +278,9 @@
     pub done: Box<dyn FnOnce(Result<Vec<Class>, String>) + Send>,
 }
 
-impl fmt::Debug for Retune {
+impl fmt::Debug for Reconfiguration {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "Retune({} classes)", self.classes.len())
+        write!(f, "Reconfiguration({} classes)", self.classes.len())
     }
 }
 
@@ -289,7 +289,7 @@
 pub enum Input {
     Taken(Incoming),
     /// New settings at SIGHUP: the classes of the file, and who takes the table of names and ids.
-    Retune(Box<Retune>),
+    Reconfigure(Box<Reconfiguration>),
     /// The client has stopped waiting.
     Abandoned(RequestId),
     /// Nobody waits for it any more, but its outcome is kept: if none of it has been sent on, it is refused, else it goes on.
--- a/front/src/lifecycle/reload.rs
+++ b/front/src/lifecycle/reload.rs
@@ -8,7 +8,7 @@
 use crossbeam_channel::Sender;
 
 use crate::client::bus::Whereabouts;
-use crate::exchange::{Class, Input, Retune};
+use crate::exchange::{Class, Input, Reconfiguration};
 use crate::lifecycle::config::{Config, Shape};
 use crate::memory::counters::Counters;
 use crate::memory::longest::Longest;
@@ -68,8 +68,9 @@
             }
             Err(why) => eprintln!("reload: the classes stay as they were: {why}"),
         };
-        let retune = Retune { settings: config.settings, classes: config.classes, done: Box::new(done) };
-        if self.inputs.send(Input::Retune(Box::new(retune))).is_err() {
+        let retune =
+            Reconfiguration { settings: config.settings, classes: config.classes, done: Box::new(done) };
+        if self.inputs.send(Input::Reconfigure(Box::new(retune))).is_err() {
             return Err("the engine has stopped".into());
         }
         Ok(match self.bus.move_to(config.bus) {
--- a/front/src/lifecycle/serve.rs
+++ b/front/src/lifecycle/serve.rs
@@ -92,7 +92,8 @@
     };
     let pool = Pool::new(config.pool, inputs.clone(), counters.clone());
     let names = config.classes.iter().map(|c| c.name.clone()).collect();
-    let engine = Engine::new(config.settings.clone(), config.seed, pool, counters.clone()).naming(names);
+    let engine =
+        Engine::new(config.settings.clone(), config.seed, pool, counters.clone()).with_class_names(names);
     let (fleet, engine, sites) = match begin_fleet(&second.fleet, &config, &inputs, &counters)? {
         None => (None, engine, None),
         Some(fleet::Started { fleet, budgets, maintenance, sites }) => {
--- a/front/src/memory/failing.rs
+++ b/front/src/memory/failing.rs
@@ -5,8 +5,6 @@
 
 use elmtide::{MemberId, Outcome};
 
-use crate::engine::Listed;
-
 /// Failed ends in a row from which a member counts as avoided.
 const STREAK: u8 = 2;
 
@@ -38,8 +36,8 @@
     }
 
     /// Forgets members that are no longer listed.
-    pub fn keep(&mut self, listed: &Listed) {
-        let present: Vec<MemberId> = listed.present().map(|(member, _)| member).collect();
+    pub fn retain_present(&mut self, present: impl Iterator<Item = MemberId>) {
+        let present: Vec<MemberId> = present.collect();
         self.0.retain(|member, _| present.contains(member));
     }
 }
