--- a/core/fleet/src/node.rs
+++ b/core/fleet/src/node.rs
@@ -1,9 +1,9 @@
 //! One node: the failure detector, the replicated log if it votes, the lease that it holds, and what it grants while it leads.
 //!
 //! A message or a tick enters here and is handed to the part that it is for:
-//! [`bootstrap`] (voter ids, a new log, a stale store), [`replication`] (the log and its storage), [`leadership`] (what a leader
-//! proposes and answers), [`lease`] (the lease that this front holds), [`commands`] (commands of this front),
-//! [`heartbeat`] (signs of life between sites), [`status`] (what is shown to operators).
+//! `bootstrap` (voter ids, a new log, a stale store), `replication` (the log and its storage), `leadership` (what a leader
+//! proposes and answers), `lease` (the lease that this front holds), `commands` (commands of this front),
+//! `heartbeat` (signs of life between sites), `status` (what is shown to operators).
 
 mod bootstrap;
 mod commands;
--- a/lab/src/demo.rs
+++ b/lab/src/demo.rs
@@ -68,7 +68,10 @@
     println!("\nSignups are refused until the ledger of the process before must be forgotten:");
     shop.send(&signup("demo-1")).map_err(failed)?;
     let early = shop.reply().map_err(failed)?;
-    println!("signup demo-1: {}, come back in {:?} ms", early.status, early.wait_ms());
+    match early.wait_ms() {
+        Some(wait) => println!("signup demo-1: {}, retry after {wait} ms", early.status),
+        None => println!("signup demo-1: {}", early.status),
+    }
     front.log.wait("ledger: open", 0)?;
     for from in [at, SocketAddr::new(ips[1], http)] {
         let mut shop = Http::connect(from, PATIENCE).map_err(failed)?;
@@ -76,9 +79,10 @@
         println!("signup demo-1 at {from}: {}", shop.reply().map_err(failed)?.status);
     }
     let ran = runs(&nodes).values().sum::<usize>();
-    println!("It ran {ran} time at the nodes. Filled from the origin: {}.\n", origin.fills.load(Relaxed));
+    let times = if ran == 1 { "once".to_owned() } else { format!("{ran} times") };
+    println!("It ran {times} at the nodes. Filled from the origin: {}.\n", origin.fills.load(Relaxed));
     let (_, counters) = front.run(&["counters", "--control", "control.sock"])?;
-    println!("{counters}");
+    print_counters(&counters);
     if ran != 1 {
         return Err(format!("the signup ran {ran} times"));
     }
@@ -97,3 +101,14 @@
     }
     Ok(())
 }
+
+/// Prints the counters that are not zero, one a line.
+fn print_counters(line: &str) {
+    println!("Counters of the front that are not zero:");
+    for counter in line.split_whitespace() {
+        if let Some((name, value)) = counter.split_once('=').filter(|(_, value)| *value != "0") {
+            println!("  {name:<20} {value:>6}");
+        }
+    }
+    println!();
+}
