--- a/front/src/fleet/events.rs
+++ b/front/src/fleet/events.rs
@@ -2,9 +2,9 @@
 
 use elmtide_fleet::Event;
 
+use crate::fleet::display_names::step_name;
 use crate::fleet::operator::OperatorDesk;
 use crate::fleet::site_watch::SiteWatch;
-use crate::fleet::work;
 
 /// Logs an event, and runs the hook of a machine's step.
 pub fn log_event(event: &Event, desk: &OperatorDesk, sites: Option<&SiteWatch>) {
@@ -38,7 +38,7 @@
         }
         Event::MachineAdvanced { machine, step } => {
             let machine = desk.names().machine(*machine);
-            let step = work::step_name(*step);
+            let step = step_name(*step);
             tracing::info!(machine, step, "work: agreed");
             desk.run_hook(step, &machine);
         }
--- a/front/src/fleet/mod.rs
+++ b/front/src/fleet/mod.rs
@@ -2,18 +2,29 @@
 //! inputs of the engine. The engine never asks it anything: it spends by what it has in hand.
 
 pub mod config;
+mod config_check;
+pub mod config_error;
+mod config_limits;
+mod config_settings;
+mod display_names;
 pub mod events;
 pub mod hooks;
-pub mod look;
+pub mod maintenance_command;
+mod maintenance_view;
 pub mod operator;
+pub mod operator_client;
+mod operator_request;
+mod operator_socket;
 pub mod probe;
 pub mod runner;
+pub mod site_command;
+mod site_directory;
 pub mod site_failover;
 pub mod site_watch;
-pub mod sites;
 pub mod spend_log;
 pub mod start;
-pub mod work;
+pub mod start_error;
+pub mod status_view;
 
 pub use start::{start, FleetStart, Started};
 
--- a/front/src/fleet/operator.rs
+++ b/front/src/fleet/operator.rs
@@ -12,11 +12,12 @@
 use elmtide_maintenance::MaintenanceReport;
 
 use crate::fleet::config::FleetConfig;
+use crate::fleet::display_names::DisplayNames;
 use crate::fleet::hooks::Hooks;
-use crate::fleet::look::Shown;
-use crate::fleet::sites::Sites;
-use crate::fleet::start::Order;
-use crate::fleet::work::{self, Names, Reply, Request};
+use crate::fleet::maintenance_view::MaintenanceStatusView;
+use crate::fleet::operator_request::{OperatorReply, OperatorRequest};
+use crate::fleet::site_directory::SiteDirectory;
+use crate::fleet::status_view::FleetStatusView;
 use crate::fleet_link::Waker;
 
 /// Most commands whose outcome is waited for.
@@ -24,6 +25,18 @@
 /// For so long the leader is asked for details after an operator has looked, and an operator's command waits for its outcome.
 const OPERATOR_TIMEOUT: Duration = Duration::from_secs(5);
 
+/// What the program asks of the fleet's thread.
+pub enum Order {
+    /// Leave the fleet; then answer.
+    Leave(Sender<()>),
+    /// Have an unlisted front removed.
+    RemoveFront(FrontId),
+    /// An operator's request; the JSON reply goes back.
+    Request(Box<OperatorRequest>, Sender<String>),
+    /// Show machines in maintenance, once the leader has told details; JSON goes back.
+    ShowMaintenance(Sender<String>),
+}
+
 /// Why a call of an operator was not handed on.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
@@ -51,7 +64,7 @@
     /// Wakes it.
     pub waker: Waker,
     /// What is shown of the fleet now.
-    pub status: Arc<ArcSwapOption<Shown>>,
+    pub status: Arc<ArcSwapOption<FleetStatusView>>,
     /// The fronts of this front's file.
     pub configured_fronts: Vec<String>,
     /// Whether machines can go into maintenance.
@@ -98,7 +111,7 @@
         if !(if concerns_site { self.has_sites } else { self.has_maintenance }) {
             return Err(CallError::NotConfigured);
         }
-        let request: Box<Request> = serde_json::from_str(json)?;
+        let request: Box<OperatorRequest> = serde_json::from_str(json)?;
         self.call(|reply| Order::Request(request, reply))
     }
 
@@ -128,7 +141,7 @@
 /// The fleet's thread's side: who waits for what.
 pub struct OperatorDesk {
     is_maintenance_on: bool,
-    names: Names,
+    names: DisplayNames,
     hooks: Hooks,
     /// Until when details are asked for.
     details_needed_until: Option<Instant>,
@@ -147,7 +160,7 @@
         let hooks = config.work.as_ref().map(|work| Hooks::new(work.hooks.clone(), work.hook_seconds));
         OperatorDesk {
             is_maintenance_on: config.work.is_some(),
-            names: Names::of(config),
+            names: DisplayNames::from_config(config),
             hooks: hooks.unwrap_or_else(|| Hooks::new(BTreeMap::new(), 1.0)),
             details_needed_until: None,
             waiting_for_details: Vec::new(),
@@ -158,8 +171,8 @@
         }
     }
 
-    /// Names of machines and fronts.
-    pub fn names(&self) -> &Names {
+    /// DisplayNames of machines and fronts.
+    pub fn names(&self) -> &DisplayNames {
         &self.names
     }
 
@@ -202,10 +215,10 @@
         let leader = node.known_leader().map(|front| self.front_name(front));
         let contact = node.has_contact();
         let shown = match &self.details {
-            None => work::Shown { contact, leader, ..work::Shown::default() },
+            None => MaintenanceStatusView { contact, leader, ..MaintenanceStatusView::default() },
             Some(ReceivedDetails { at, details }) => {
                 let age_ms = at.elapsed().as_secs_f64() * 1000.0;
-                work::Shown::new(details, &self.names, contact, leader, age_ms)
+                MaintenanceStatusView::new(details, &self.names, contact, leader, age_ms)
             }
         };
         serde_json::to_string(&shown).unwrap_or_default()
@@ -220,8 +233,8 @@
     pub fn on_request(
         &mut self,
         node: &mut FleetNode,
-        sites: Option<&Sites>,
-        request: Request,
+        sites: Option<&SiteDirectory>,
+        request: OperatorRequest,
         reply: Sender<String>,
         now: Clocks,
     ) {
@@ -232,15 +245,15 @@
                 }
                 self.waiting_for_outcome.insert(tag, reply);
             }
-            Err(text) => send_reply(&reply, &Reply::refused(text)),
+            Err(text) => send_reply(&reply, &OperatorReply::refused(text)),
         }
     }
 
     fn submit(
         &mut self,
         node: &mut FleetNode,
-        sites: Option<&Sites>,
-        request: Request,
+        sites: Option<&SiteDirectory>,
+        request: OperatorRequest,
         now: Clocks,
     ) -> Result<u64, String> {
         if !node.has_contact() {
@@ -250,7 +263,7 @@
             });
             return Err(format!("this front has no contact: ask another one; {leader}"));
         }
-        let command = request.change(sites)?;
+        let command = request.into_command(sites)?;
         let tag = self.next_tag;
         self.next_tag += 1;
         node.request_command(tag, command, now).map_err(|error| error.to_string())?;
@@ -265,6 +278,6 @@
     }
 }
 
-fn send_reply(to: &Sender<String>, reply: &Reply) {
+fn send_reply(to: &Sender<String>, reply: &OperatorReply) {
     let _ = to.try_send(serde_json::to_string(reply).unwrap_or_default());
 }
--- a/front/src/fleet/runner.rs
+++ b/front/src/fleet/runner.rs
@@ -19,10 +19,9 @@
 use crate::exchange::Input;
 use crate::fleet::config::FleetConfig;
 use crate::fleet::events::log_event;
-use crate::fleet::look::Shown;
-use crate::fleet::operator::OperatorDesk;
+use crate::fleet::operator::{OperatorDesk, Order};
 use crate::fleet::site_watch::SiteWatch;
-use crate::fleet::start::Order;
+use crate::fleet::status_view::FleetStatusView;
 use crate::fleet_link::{EngineReport, FleetUpdate};
 use crate::process::clock;
 
@@ -70,7 +69,7 @@
     /// From the program.
     pub orders: Receiver<Order>,
     /// What operators are shown.
-    pub status: Arc<ArcSwapOption<Shown>>,
+    pub status: Arc<ArcSwapOption<FleetStatusView>>,
 }
 
 /// Why a store can't be emptied and used again.
@@ -342,8 +341,8 @@
         let now = clock::both();
         let names = &self.desk.names().fronts;
         let status = self.node.status(now);
-        let shown = Shown::new(status, &self.report, names, self.crowded_datagrams, now);
+        let shown = FleetStatusView::new(status, &self.report, names, self.crowded_datagrams, now);
         let sites = self.sites.as_ref().map_or_else(Vec::new, |sites| sites.failover().shown());
-        self.channels.status.store(Some(Arc::new(Shown { sites, ..shown })));
+        self.channels.status.store(Some(Arc::new(FleetStatusView { sites, ..shown })));
     }
 }
--- a/front/src/fleet/site_failover.rs
+++ b/front/src/fleet/site_failover.rs
@@ -16,8 +16,8 @@
 
 use crate::edge::config::{EdgeConfig, FrontEntry};
 use crate::edge::in_force::Owner;
-use crate::fleet::look::ShownSite;
-use crate::fleet::sites::{SiteKind, Sites};
+use crate::fleet::site_directory::{SiteDirectory, SiteKind};
+use crate::fleet::status_view::SiteStatusView;
 use crate::process::{clock, spawn};
 
 /// Most plans that are kept.
@@ -76,7 +76,7 @@
 /// How this front takes part in the failover of sites.
 pub struct FailoverConfig {
     /// The sites of the fleet's file.
-    pub sites: Sites,
+    pub sites: SiteDirectory,
     /// Each front with its site.
     pub fronts: Vec<(String, SiteId)>,
     /// This front.
@@ -135,7 +135,7 @@
     }
 
     /// The sites of the fleet's file.
-    pub fn sites(&self) -> &Sites {
+    pub fn sites(&self) -> &SiteDirectory {
         &self.config.sites
     }
 
@@ -234,7 +234,7 @@
     }
 
     fn phase(&self, view: &SiteView, kind: SiteKind, place: usize) -> RecoveryPhase {
-        self.sites().id(kind, place).map_or(RecoveryPhase::Serving, |site| view.phase(site))
+        self.sites().nth_of_kind(kind, place).map_or(RecoveryPhase::Serving, |site| view.phase(site))
     }
 
     /// What is lost, or does not serve all of its clients yet.
@@ -265,11 +265,11 @@
     }
 
     /// All sites, as operators are shown them.
-    pub fn shown(&self) -> Vec<ShownSite> {
+    pub fn shown(&self) -> Vec<SiteStatusView> {
         let current = self.current();
         let Some(view) = current.view() else { return Vec::new() };
         let sites = self.sites().names.iter().zip(&view.sites);
-        let shown = sites.map(|((name, _), entry)| ShownSite {
+        let shown = sites.map(|((name, _), entry)| SiteStatusView {
             site: name.clone(),
             standing: entry.phase.name().to_lowercase(),
             clients: entry.phase.client_percent(),
@@ -280,7 +280,7 @@
 
     /// The branch of this front, by its place in the plan.
     pub fn own_branch(&self) -> Option<usize> {
-        self.own_site.and_then(|site| self.sites().branch(site))
+        self.own_site.and_then(|site| self.sites().branch_index(site))
     }
 
     /// What the plan says to a client that asks here.
--- a/front/src/fleet/site_watch.rs
+++ b/front/src/fleet/site_watch.rs
@@ -10,10 +10,11 @@
 use elmtide_sites::{FailoverSettings, RecoveryPhase, SiteHealthMonitor, SiteId, SiteReport};
 
 use crate::fleet::config::FleetConfig;
+use crate::fleet::config_error::FleetConfigError;
 use crate::fleet::probe;
+use crate::fleet::site_directory::{SiteDirectory, SitesEntry};
 use crate::fleet::site_failover::{FailoverConfig, SiteFailover};
-use crate::fleet::sites::{Sites, SitesEntry};
-use crate::fleet::start::StartError;
+use crate::fleet::start_error::StartError;
 use crate::fleet_link::OwnSiteState;
 use crate::memory::counters::Counters;
 use crate::memory::ledger::LIVES;
@@ -59,7 +60,7 @@
     /// If the file's sites can't be used, or a thread can't be started.
     pub fn start(watch: SiteWatchConfig) -> Result<SiteWatch, StartError> {
         let SiteWatchConfig { config, table, failover: settings, own_name, lease, .. } = watch;
-        let sites = Sites::of(table, &config.site).map_err(StartError::Config)?;
+        let sites = SiteDirectory::from_config(table, &config.site).map_err(FleetConfigError::from)?;
         let failover = SiteFailover::start(FailoverConfig {
             sites,
             fronts: config.fronts_of_sites(),
--- a/front/src/fleet/start.rs
+++ b/front/src/fleet/start.rs
@@ -1,27 +1,26 @@
 //! Starts the fleet's thread with everything around it: socket, store, operators' socket, and the engine's side.
 
-use std::io;
 use std::net::UdpSocket;
-use std::path::PathBuf;
 use std::sync::Arc;
 
 use arc_swap::ArcSwapOption;
 use crossbeam_channel::{bounded, Sender};
 use elmtide_budgets::FrontId;
-use elmtide_fleet::{FleetSettings, MaintenanceSettings, NodeError, RecoveredState};
+use elmtide_fleet::{FleetSettings, MaintenanceSettings, RecoveredState};
 use elmtide_maintenance::{MachineId, MaintenanceExclusions};
-use elmtide_store::{Store, StoreError};
+use elmtide_store::Store;
 
 use crate::engine::budget_client::BudgetClient;
 use crate::engine::maintenance_client::MaintenanceClient;
 use crate::exchange::Input;
 use crate::fleet::config::{FleetConfig, FrontEntry};
-use crate::fleet::look;
-use crate::fleet::operator::{OperatorCalls, OperatorDesk};
+use crate::fleet::operator::{OperatorCalls, OperatorDesk, Order};
+use crate::fleet::operator_socket;
 use crate::fleet::runner::{NodeTemplate, Runner, RunnerChannels};
 use crate::fleet::site_failover::SiteFailover;
 use crate::fleet::site_watch::{SiteWatch, SiteWatchConfig};
 use crate::fleet::spend_log::SpendLog;
+use crate::fleet::start_error::StartError;
 use crate::fleet_link::{EngineReport, Waker};
 use crate::memory::counters::Counters;
 use crate::process::{clock, spawn};
@@ -30,57 +29,6 @@
 const REPORT_QUEUE: usize = 64;
 const ORDER_QUEUE: usize = 16;
 
-/// Why the fleet can't be started.
-#[derive(Debug, thiserror::Error)]
-pub enum StartError {
-    /// The fleet's file does not name this front.
-    #[error("no [[front]] has the name {0:?}")]
-    UnknownFront(String),
-    /// The fleet's file can't be used.
-    #[error("{0}")]
-    Config(String),
-    /// The store can't be used.
-    #[error("{}: {error}", path.display())]
-    Store {
-        /// Where it is.
-        path: PathBuf,
-        /// Why.
-        #[source]
-        error: StoreError,
-    },
-    /// A socket, a file or a thread can't be had.
-    #[error("{what}: {error}")]
-    Io {
-        /// An address, a path or a thread.
-        what: String,
-        /// Why.
-        #[source]
-        error: io::Error,
-    },
-    /// The node can't be started from its store.
-    #[error(transparent)]
-    Node(#[from] NodeError),
-}
-
-impl StartError {
-    pub(crate) fn io(what: impl ToString) -> impl FnOnce(io::Error) -> StartError {
-        let what = what.to_string();
-        move |error| StartError::Io { what, error }
-    }
-}
-
-/// What the program asks of the fleet's thread.
-pub enum Order {
-    /// Leave the fleet; then answer.
-    Leave(Sender<()>),
-    /// Have an unlisted front removed.
-    RemoveFront(FrontId),
-    /// An operator's request; the JSON reply goes back.
-    Request(Box<crate::fleet::work::Request>, Sender<String>),
-    /// Show machines in maintenance, once the leader has told details; JSON goes back.
-    ShowMaintenance(Sender<String>),
-}
-
 /// What the fleet is started for.
 pub struct FleetStart<'a> {
     /// The fleet's file.
@@ -142,7 +90,7 @@
 pub fn start(start: FleetStart) -> Result<Started, StartError> {
     let FleetStart { config, name, max_deadline_ms, seed, inputs, counters } = start;
     let own = config.own(name).ok_or_else(|| StartError::UnknownFront(name.to_owned()))?;
-    let settings = config.settings(max_deadline_ms).map_err(StartError::Config)?;
+    let settings = config.settings(max_deadline_ms)?;
     let (store, recovered) = open_store(config)?;
     let (socket, waker) = bind(own)?;
     let maintenance = settings.maintenance.as_ref().map(|m| maintenance_client(config, name, &settings, m));
@@ -151,7 +99,7 @@
     let template = NodeTemplate {
         own: FrontId::from_name(name),
         installation: config.installation.clone(),
-        key: config.key().map_err(StartError::Config)?,
+        key: config.key()?,
         settings,
         seed,
     };
@@ -167,8 +115,8 @@
         has_maintenance: maintenance.is_some(),
         has_sites: failover.is_some(),
     };
-    let path = config.look(name);
-    look::listen(&path, calls).map_err(StartError::io(path.display()))?;
+    let path = config.operator_socket(name);
+    operator_socket::listen(&path, calls).map_err(StartError::io(path.display()))?;
     let budgets = budget_client(config, own, &template.settings, reports_in, waker()?)?;
     let runner = Runner::new(
         config,
@@ -248,11 +196,12 @@
     reports: Sender<EngineReport>,
     waker: Waker,
 ) -> Result<Box<BudgetClient>, StartError> {
-    let spend_log = config.record.as_deref().map(SpendLog::start).transpose().map_err(StartError::Config)?;
-    let limits = config.budget.iter().map(|budget| budget.limit(&own.site));
-    let limits: Vec<_> = limits.collect::<Result<_, _>>().map_err(StartError::Config)?;
+    let spend_log =
+        config.record.as_deref().map(SpendLog::start).transpose().map_err(StartError::SpendLog)?;
+    let limits = config.budget.iter().map(|budget| budget.total_limit(&own.site));
+    let limits: Vec<_> = limits.collect::<Result<_, _>>()?;
     let kinds = config.budget.iter().map(|budget| budget.kind());
-    let kinds = kinds.collect::<Result<_, _>>().map_err(StartError::Config)?;
+    let kinds = kinds.collect::<Result<_, _>>()?;
     let limits = limits.into_iter().flatten().collect();
     Ok(Box::new(BudgetClient::new(settings.lease, limits, kinds, reports, waker, spend_log)))
 }
--- a/front/src/lifecycle/serve.rs
+++ b/front/src/lifecycle/serve.rs
@@ -300,7 +300,7 @@
     if !file.exists() {
         return Ok(None);
     }
-    let read = FleetConfig::load(file)?;
+    let read = FleetConfig::load(file).map_err(|error| error.to_string())?;
     fleet::log(read.log);
     let start = FleetStart {
         config: &read,
--- a/front/src/main.rs
+++ b/front/src/main.rs
@@ -112,8 +112,8 @@
                 println!("{}: {} cells, {} shops", cells.display(), config.cell.len(), config.shop.len());
             }
             if fleet.exists() {
-                let fleet = fleet::config::FleetConfig::load(&fleet)?;
-                fleet.key()?;
+                let fleet = fleet::config::FleetConfig::load(&fleet).map_err(|e| e.to_string())?;
+                fleet.key().map_err(|e| e.to_string())?;
                 println!("fleet: {} fronts, {} budgets", fleet.front.len(), fleet.budget.len());
             }
             if file.exists() {
@@ -141,33 +141,35 @@
             lifecycle::plan::undo_move(&shop.to_string_lossy(), &path())?;
         }
         Some("fleet") => {
-            let path = fleet::config::FleetConfig::load(&fleet)?.look(&name);
+            let path =
+                fleet::config::FleetConfig::load(&fleet).map_err(|e| e.to_string())?.operator_socket(&name);
             if let Some(front) = forgotten {
-                fleet::look::forget(&path, &front.to_string_lossy())?;
+                fleet::operator_client::remove_front(&path, &front.to_string_lossy())
+                    .map_err(|e| e.to_string())?;
                 return Ok(ExitCode::SUCCESS);
             }
-            let shown = fleet::look::ask(&path)?;
+            let shown = fleet::operator_client::status(&path).map_err(|e| e.to_string())?;
             match json {
                 true => println!("{}", serde_json::to_string_pretty(&shown).map_err(|e| e.to_string())?),
-                false => fleet::look::print(&shown),
+                false => fleet::status_view::print(&shown),
             }
         }
         Some("site") => {
-            let config = fleet::config::FleetConfig::load(&fleet)?;
+            let config = fleet::config::FleetConfig::load(&fleet).map_err(|e| e.to_string())?;
             let words: Vec<String> = words.iter().map(|w| w.to_string_lossy().into_owned()).collect();
             let sites = config.sites.as_ref().map(|sites| (sites, &config.site[..]));
             if words.first().is_none_or(|w| w != "plan") {
-                return fleet::sites::ask(&config.look(&name), &words, json);
+                return fleet::site_command::ask(&config.operator_socket(&name), &words, json);
             }
-            if !fleet::sites::run(sites, &words)? {
+            if !fleet::site_command::run(sites, &words)? {
                 return Ok(ExitCode::FAILURE);
             }
         }
         Some("work") => {
-            let config = fleet::config::FleetConfig::load(&fleet)?;
+            let config = fleet::config::FleetConfig::load(&fleet).map_err(|e| e.to_string())?;
             let words = words.iter().map(|w| w.to_string_lossy().into_owned()).collect();
-            let typed = fleet::work::Typed { words, reason, minutes, json };
-            if !fleet::work::run(&config, &name, &typed)? {
+            let typed = fleet::maintenance_command::MaintenanceArgs { words, reason, minutes, json };
+            if !fleet::maintenance_command::run(&config, &name, &typed)? {
                 return Ok(ExitCode::FAILURE);
             }
         }
