--- a/lab/src/schedules.rs
+++ b/lab/src/schedules.rs
@@ -5,8 +5,8 @@
 use std::time::Instant;
 
 use elmtide_budgets::{BudgetId, BudgetKind};
+use elmtide_model::schedule::play_sites;
 use elmtide_model::schedule::{play, play_work, Rough};
-use elmtide_model::sites::play_sites;
 use elmtide_model::{Disk, Report, Setup, World};
 
 const KEY: BudgetId = BudgetId { kind: BudgetKind::Retries, resource: 0 };
--- a/model/src/lib.rs
+++ b/model/src/lib.rs
@@ -4,7 +4,10 @@
 //! [`World`] is the driver, [`schedule`] draws faults from a seed, [`Report`] is what the checkers of `rules/` found.
 
 pub mod schedule;
-pub mod sites;
+pub mod setup;
+mod simulated_node;
+mod site_state;
 pub mod world;
 
-pub use world::{Disk, Machines, Net, Report, Setup, World};
+pub use setup::{Disk, Machines, Net, Report, Setup};
+pub use world::World;
--- a/model/src/schedule.rs
+++ b/model/src/schedule.rs
@@ -2,10 +2,12 @@
 
 use elmtide_budgets::{BudgetId, BudgetKind};
 use elmtide_maintenance::{JobId, MachineId, MaintenanceCommand};
+use elmtide_sites::RecoveryPhase;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use crate::world::{Disk, Machines, Net, Report, Setup, World};
+use crate::setup::{Disk, Machines, Net, Report, Setup};
+use crate::world::World;
 
 const KEY: BudgetId = BudgetId { kind: BudgetKind::Retries, resource: 0 };
 
@@ -169,3 +171,59 @@
         }
     }
 }
+
+/// Plays `steps` faults on sites that come and go, then heals all, and waits for every return to end.
+pub fn play_sites(seed: u64, steps: usize) -> Report {
+    let mut random = ChaCha8Rng::seed_from_u64(seed ^ 0x51fe5);
+    let count = random.random_range(3..=6usize);
+    let fronts = count * random.random_range(1..=2usize);
+    let mut world = World::new(Setup { sites: Some(count), ..Setup::new(fronts, seed) });
+    world.run(5_000_000);
+    for _ in 0..steps {
+        let site = random.random_range(0..count);
+        let other = (site + random.random_range(1..count)) % count;
+        match random.random_range(0..9u8) {
+            0 | 1 => world.lose_site(site),
+            2 | 3 => world.bring_site(site),
+            // Cut off, with boxes that others reach, or not.
+            4 => {
+                let (one, rest): (Vec<usize>, Vec<usize>) = (0..fronts).partition(|n| n % count == site);
+                world.split(&[&one, &rest]);
+                if random.random() {
+                    (0..count).filter(|by| *by != site).for_each(|by| world.cut_boxes(by, site, true));
+                }
+            }
+            5 => world.cut_boxes(site, other, true),
+            6 => {
+                world.heal();
+                (0..count).for_each(|by| (0..count).for_each(|of| world.cut_boxes(by, of, false)));
+            }
+            7 => world.net(Net { loss: random.random::<f64>() * 0.2, double: 0.1, delay: (1_000, 60_000) }),
+            _ => {
+                let node = random.random_range(0..fronts);
+                match random.random_range(0..4u8) {
+                    0 => world.stall(node, random.random_range(100_000..3_000_000)),
+                    1 => world.set_wall(node, random.random_range(-5_000_000..5_000_000)),
+                    2 => world.sleep(node, random.random_range(100_000..2_000_000)),
+                    _ => {
+                        world.kill(node, Disk::Kept);
+                        world.start(node);
+                    }
+                }
+            }
+        }
+        world.run(random.random_range(200_000..3_000_000));
+    }
+    world.heal();
+    world.net(Net::default());
+    for site in 0..count {
+        (0..count).for_each(|by| world.cut_boxes(by, site, false));
+        world.bring_site(site);
+    }
+    let back = |w: &World| (0..count).all(|s| w.standing(s) == RecoveryPhase::Serving);
+    if !world.until(90_000_000, back) {
+        let left: Vec<RecoveryPhase> = (0..count).map(|s| world.standing(s)).collect();
+        world.breach(format!("not all sites are back after 90 s: {left:?}"));
+    }
+    world.report()
+}
--- a/model/tests/sites.rs
+++ b/model/tests/sites.rs
@@ -1,6 +1,6 @@
 //! Sites in simulated time, over the whole member: frames, log, leases, clocks.
 
-use elmtide_model::sites::play_sites;
+use elmtide_model::schedule::play_sites;
 use elmtide_model::{Setup, World};
 use elmtide_sites::RecoveryPhase;
 
