--- a/front/src/lifecycle/mod.rs
+++ b/front/src/lifecycle/mod.rs
@@ -8,4 +8,6 @@
 pub mod listener;
 pub mod plan;
 pub mod reload;
+pub mod second_front;
 pub mod serve;
+pub mod shutdown;
--- /dev/null
+++ b/front/src/lifecycle/second_front.rs
@@ -0,0 +1,192 @@
+//! The second front in the life of the process: its start beside an earlier process, its end, and what it leaves to the next one.
+
+use std::path::PathBuf;
+use std::sync::atomic::AtomicU64;
+use std::sync::{Arc, OnceLock};
+use std::time::{Duration, Instant};
+
+use crossbeam_channel::Sender;
+
+use crate::client::resolver;
+use crate::edge::config::EdgeConfig;
+use crate::edge::in_force::InForce;
+use crate::exchange::Input;
+use crate::fleet::site_failover::SiteFailover;
+use crate::lifecycle::cells::CellsInForce;
+use crate::lifecycle::config::Config;
+use crate::lifecycle::control;
+use crate::lifecycle::edge::Edge;
+use crate::lifecycle::handover::{self, Handover, Run};
+use crate::lifecycle::listener::Origin;
+use crate::lifecycle::shutdown::MIN_SHUTDOWN;
+use crate::memory::counters::Counters;
+use crate::memory::ledger::Ledger;
+use crate::memory::longest::Longest;
+use crate::process::log::Log;
+use crate::process::{random_secret, spawn};
+use crate::server::clients::Clients;
+use crate::server::http::Site;
+use crate::server::{dns, Intake};
+
+/// So often it is looked whether an earlier process has gone.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// An earlier process that gives its addresses up has closed the last of them after so long, or has been killed.
+const ADDRESS_TIMEOUT: Duration = Duration::from_secs(10);
+
+/// Where the second front's file is, and where plan and apply find the program.
+pub struct SecondFrontFiles {
+    pub file: PathBuf,
+    pub control: Option<PathBuf>,
+    /// The cells' file.
+    pub cells: PathBuf,
+    /// The fleet's file.
+    pub fleet: PathBuf,
+}
+
+/// What the second front shares with the rest of the process.
+pub struct SecondFrontContext<'a> {
+    pub config: &'a Config,
+    pub inputs: &'a Sender<Input>,
+    pub counters: &'a Arc<Counters>,
+    pub intake: &'a Arc<Intake>,
+    pub clients: &'a Clients,
+    pub longest: &'a Longest,
+}
+
+/// The running second front.
+pub struct SecondFront {
+    edge: Arc<Edge>,
+    ledger: Arc<Ledger>,
+    handover: Option<Handover>,
+    control: PathBuf,
+}
+
+impl SecondFront {
+    /// Starts its threads, and puts its file in force as soon as no earlier process has the addresses.
+    ///
+    /// # Errors
+    /// If a thread can't be started. A file that can't be used is logged: it must not keep the first front from serving.
+    pub fn start(
+        files: &SecondFrontFiles,
+        context: SecondFrontContext,
+        sites: Option<Arc<SiteFailover>>,
+    ) -> Result<SecondFront, String> {
+        let SecondFrontContext { config, inputs, counters, intake, clients, longest } = context;
+        let in_force = Arc::new(InForce::default());
+        let names =
+            resolver::Client::new(config.names.clone(), inputs.clone(), in_force.clone(), random_secret());
+        names.start().map_err(|e| format!("resolver thread: {e}"))?;
+        let shared = dns::Shared { counts: Arc::default(), log: Log::default(), seed: random_secret() };
+        let _ = counters.dns.set(shared.counts.clone());
+        let ledger = Arc::new(Ledger::new([(); 4].map(|()| random_secret()), longest.clone()));
+        let handover = Handover::from_env(&config.name, Run(random_secret()));
+        let site = Site {
+            name: config.name.clone(),
+            intake: intake.clone(),
+            clients: clients.clone(),
+            ledger: ledger.clone(),
+            in_force: in_force.clone(),
+            sites,
+            seed: config.seed,
+            jobs: AtomicU64::new(1),
+        };
+        let (name, counts) = (config.name.clone(), counters.clone());
+        let edge = Edge::new(name, in_force, counts, Arc::new(shared), site, longest.clone());
+        edge.watch().map_err(|e| format!("edge thread: {e}"))?;
+        let control = files.control.clone().unwrap_or_else(|| control::usual_path(&config.name));
+        let cells = CellsInForce::new(inputs.clone(), config.longest_deadline);
+        cells.start(&files.cells);
+        let activation = Activation {
+            file: files.file.clone(),
+            path: control.clone(),
+            edge: edge.clone(),
+            cells,
+            counters: counters.clone(),
+        };
+        let alone = Arc::new(OnceLock::new());
+        // The second front must not keep the first from serving.
+        activation.begin(alone.clone()).map_err(|e| format!("second front's thread: {e}"))?;
+        let second_front = SecondFront { edge, ledger, handover, control };
+        second_front.open_ledger(config.longest_deadline, alone)?;
+        Ok(second_front)
+    }
+
+    /// Opens the ledger once no client of an earlier process can still retry there.
+    fn open_ledger(&self, longest_deadline_ms: f64, alone: Arc<OnceLock<Instant>>) -> Result<(), String> {
+        // The clients of the process before give up after the longest deadline; where it may leave word, it is not
+        // shut out by that: it stays for a while before it does.
+        let closed = Duration::from_secs_f64(longest_deadline_ms / 1000.0);
+        let closed = if self.handover.is_some() { closed.max(MIN_SHUTDOWN * 2) } else { closed };
+        let (ledger, handover) = (self.ledger.clone(), self.handover.clone());
+        let open =
+            move || handover::open_when_safe(&ledger, handover.as_ref(), closed, || alone.get().copied());
+        spawn("ledger", open).map(drop).map_err(|e| format!("ledger thread: {e}"))
+    }
+
+    /// Takes no new connections.
+    pub fn end(&self, origin: Origin) {
+        self.edge.end();
+        // On a handed-down listener the next process is there already, and waits for our other addresses.
+        if origin == Origin::Inherited {
+            self.edge.leave();
+            let _ = std::fs::remove_file(&self.control);
+        }
+    }
+
+    /// Leaves the results of requests that must not run twice to the next process.
+    pub fn seal_ledger(&self) {
+        let Some(handover) = &self.handover else { return };
+        match handover.seal(&self.ledger) {
+            Ok(Some(bytes)) => eprintln!("ledger: left to the next process, {bytes} bytes"),
+            Ok(None) => {}
+            Err(why) => eprintln!("ledger: nothing is left to the next process: {why}"),
+        }
+    }
+}
+
+/// The start of the second front. An earlier process of ours may still hold its addresses.
+struct Activation {
+    file: PathBuf,
+    path: PathBuf,
+    edge: Arc<Edge>,
+    cells: CellsInForce,
+    counters: Arc<Counters>,
+}
+
+impl Activation {
+    /// Puts the file in force, later if an earlier process is there still. The moment it has the addresses, or has
+    /// given up, is put down.
+    fn begin(self, done: Arc<OnceLock<Instant>>) -> std::io::Result<()> {
+        let path = self.path.clone();
+        let run = move |patience: Duration| {
+            if let Err(why) = self.put_in_force(patience) {
+                eprintln!("edge: nothing is in force: {why}");
+            }
+            let _ = done.set(Instant::now());
+        };
+        if !control::taken(&path) {
+            run(Duration::ZERO);
+            return Ok(());
+        }
+        eprintln!("edge: an earlier process has the addresses: waiting for them");
+        spawn("edge-wait", move || {
+            while control::taken(&path) {
+                std::thread::sleep(POLL_INTERVAL);
+            }
+            run(ADDRESS_TIMEOUT);
+        })
+        .map(drop)
+    }
+
+    fn put_in_force(self, patience: Duration) -> Result<(), String> {
+        let Activation { file, path, edge, cells, counters } = self;
+        control::listen(&path, edge.clone(), cells, counters)?;
+        let until = Instant::now() + patience;
+        loop {
+            match edge.apply(EdgeConfig::load(&file)?, None) {
+                Err(_) if Instant::now() < until => std::thread::sleep(POLL_INTERVAL),
+                applied => return applied.map(drop),
+            }
+        }
+    }
+}
--- a/front/src/main.rs
+++ b/front/src/main.rs
@@ -17,7 +17,7 @@
 use std::process::ExitCode;
 
 use lifecycle::config::Config;
-use lifecycle::serve::Second;
+use lifecycle::second_front::SecondFrontFiles;
 
 const USAGE: &str = "\
 elmtide: a front that takes requests in and sends them on to cache nodes
@@ -102,7 +102,7 @@
     match command.as_deref() {
         Some("serve") => {
             let read = move || load(config.clone());
-            lifecycle::serve::serve(read, &Second { file, control: control.clone(), cells, fleet })?
+            lifecycle::serve::serve(read, &SecondFrontFiles { file, control: control.clone(), cells, fleet })?
         }
         Some("check") => {
             let config = load(config)?;
--- a/front/src/process/mod.rs
+++ b/front/src/process/mod.rs
@@ -21,3 +21,12 @@
     (seed, occasion).hash(&mut hasher);
     hasher.finish() as f64 / u64::MAX as f64
 }
+
+/// A number that nobody can guess.
+pub fn random_secret() -> u64 {
+    let mut bytes = [0; 8];
+    match getrandom::fill(&mut bytes) {
+        Ok(()) => u64::from_le_bytes(bytes),
+        Err(_) => clock::unix_ms().to_bits(),
+    }
+}
