--- a/benchlink/src/main.rs
+++ b/benchlink/src/main.rs
@@ -1,5 +1,7 @@
 //! Hosts elmtide instances behind the framed byte stream on standard input and output.
 
+#![expect(unreachable_pub, reason = "not all items have their narrowest visibility yet: see docs/ROADMAP.md")]
+
 mod wire;
 
 use std::io::{self, Read, Write};
--- a/core/cells/src/lib.rs
+++ b/core/cells/src/lib.rs
@@ -8,6 +8,8 @@
 //!
 //! No I/O and no clock: time comes in with each call.
 
+#![expect(missing_docs, reason = "not documented in full yet: see docs/ROADMAP.md")]
+
 pub mod cells;
 pub mod concurrency;
 pub mod evacuate;
--- a/core/ratelimit/src/lib.rs
+++ b/core/ratelimit/src/lib.rs
@@ -5,6 +5,8 @@
 //! is forgotten was full or nearly so, except under a flood of as many nets as the table has places; then limits
 //! grow slack, they don't spread to others. Source: "DNS Response Rate Limiting", ISC-TN-2012-1.
 
+#![expect(missing_docs, reason = "not documented in full yet: see docs/ROADMAP.md")]
+
 /// Milliseconds of any clock that does not go back.
 pub type Ms = f64;
 
--- a/core/steering/src/lib.rs
+++ b/core/steering/src/lib.rs
@@ -8,6 +8,8 @@
 //! - Leaving is at once, coming back takes [`Policy::settle`] of good reports: an answer never flaps.
 //! - It knows addresses of fronts only: a cache node can't be named.
 
+#![expect(missing_docs, reason = "not documented in full yet: see docs/ROADMAP.md")]
+
 mod layout;
 mod net;
 mod view;
--- a/dns/src/lib.rs
+++ b/dns/src/lib.rs
@@ -7,6 +7,9 @@
 //! - [`transfer`] and [`notify`] hand the zone on, [`peers`] asks how other fronts are, [`tcp`] bounds connections;
 //! - [`stub`] asks resolvers and knows which answers to believe.
 
+#![expect(missing_docs, reason = "not documented in full yet: see docs/ROADMAP.md")]
+#![expect(unreachable_pub, reason = "not all items have their narrowest visibility yet: see docs/ROADMAP.md")]
+
 pub mod answer;
 pub mod cookie;
 pub mod edns;
--- a/dns/suite/src/lib.rs
+++ b/dns/suite/src/lib.rs
@@ -14,6 +14,9 @@
 //! `cookie`, `nocookie`, `nsid`, `nonsid`, `scope=N`, `noecs`, `ede=N`, `pad=BLOCK`, `nopad`, `keepalive`,
 //! `nokeepalive`, `signed`, `tsigerror=N`, `messages=N`, `messages>N`, `first=TYPE`, `last=TYPE`, `records=N`.
 
+#![expect(missing_docs, reason = "not documented in full yet: see docs/ROADMAP.md")]
+#![expect(unreachable_pub, reason = "not all items have their narrowest visibility yet: see docs/ROADMAP.md")]
+
 pub mod direct;
 mod message;
 pub mod sockets;
--- a/front/src/main.rs
+++ b/front/src/main.rs
@@ -1,5 +1,7 @@
 //! elmtide: a front for cache nodes on real sockets, with every decision left to the library of that name.
 
+#![expect(unreachable_pub, reason = "not all items have their narrowest visibility yet: see docs/ROADMAP.md")]
+
 mod client;
 mod edge;
 mod engine;
--- a/front/tests/common/mod.rs
+++ b/front/tests/common/mod.rs
@@ -1,5 +1,7 @@
 //! Starts the program with stand-ins on loopback around it. Ports are the system's choice, and every wait is for
 //! a condition, with a limit far above what it takes.
+
+#![allow(unreachable_pub, reason = "several test programs share it")]
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -1,5 +1,7 @@
 //! `elmtide-lab`: what a front does, tried and measured on loopback.
 
+#![expect(unreachable_pub, reason = "not all items have their narrowest visibility yet: see docs/ROADMAP.md")]
+
 mod cells;
 mod conformance;
 mod cost;
--- a/model/src/lib.rs
+++ b/model/src/lib.rs
@@ -3,6 +3,9 @@
 //!
 //! [`World`] is the driver, [`schedule`] draws faults from a seed, [`Report`] is what the checkers of `rules/` found.
 
+#![expect(missing_docs, reason = "not documented in full yet: see docs/ROADMAP.md")]
+#![expect(unreachable_pub, reason = "not all items have their narrowest visibility yet: see docs/ROADMAP.md")]
+
 pub mod schedule;
 pub mod setup;
 mod simulated_node;
--- a/rules/src/lib.rs
+++ b/rules/src/lib.rs
@@ -7,6 +7,8 @@
 //! - **pushed over**: a node that has just started gets no more than it bears;
 //! - **purged**: from 1 s after a purge nothing older is answered.
 
+#![expect(missing_docs, reason = "not documented in full yet: see docs/ROADMAP.md")]
+
 pub mod sizes;
 pub mod spends;
 
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -32,6 +32,10 @@
     at.get(key).and_then(Value::as_i64).and_then(|k| u16::try_from(k).ok()).map(KindId)
 }
 
+/// Reads settings from JSON text.
+///
+/// # Errors
+/// If the text is not JSON, or a needed figure is missing.
 pub fn parse(text: &[u8]) -> Result<Settings, String> {
     let root: Value = serde_json::from_slice(text).map_err(|e| format!("settings are not JSON: {e}"))?;
     read(&root)
@@ -102,6 +106,10 @@
     Ok(())
 }
 
+/// Reads settings from a JSON value. What is not told stays `None`.
+///
+/// # Errors
+/// If a needed figure is missing or no number.
 pub fn read(root: &Value) -> Result<Settings, String> {
     let nothing = Value::Null;
     let part = |key: &str| root.get(key).unwrap_or(&nothing);
--- a/standins/src/lib.rs
+++ b/standins/src/lib.rs
@@ -1,6 +1,8 @@
 //! Stand-ins for what is around a front, on loopback, each with its faults. All draw from a seed: what one does is
 //! decided by it and by what it is asked, not by time. Not part of the program.
 
+#![expect(missing_docs, reason = "not documented in full yet: see docs/ROADMAP.md")]
+
 pub mod bus;
 pub mod fleet;
 pub mod front;
