--- a/core/budgets/src/allocator.rs
+++ b/core/budgets/src/allocator.rs
@@ -1,9 +1,9 @@
-//! The leader's side of leases: it answers requests, proposes quotas, and waits until the lease of a silent holder must have
-//! expired, all by its own clock and from its own election on.
+//! The leader's side of leases: answers requests, proposes quotas, and waits until the lease of an unresponsive holder
+//! must have expired. All waits use the leader's own clock and start at its election at the earliest.
 //!
-//! A request is answered only once a linearizable read that began after it came has been acknowledged: see
-//! [`LeaseAllocator::begin_read`] and [`LeaseAllocator::on_read_acknowledged`]. Between the proposal of an `ExpireLease` and its
-//! end the holder is not answered.
+//! A request is answered only after a linearizable read that began after the request arrived has been acknowledged: see
+//! [`LeaseAllocator::begin_read`] and [`LeaseAllocator::on_read_acknowledged`]. While an `ExpireLease` command for a
+//! holder is pending, the holder's requests are not answered.
 
 mod planning;
 
@@ -16,15 +16,15 @@
     LeaseResponse, LeaseSettings, Micros, SpendingModel,
 };
 
-/// Most requests that wait for a read; further ones are dropped, and sent again by their holders.
+/// Maximum number of requests waiting for a read; further ones are dropped, and their holders retry.
 const MAX_WAITING_REQUESTS: usize = 4096;
-/// Most reads in progress.
+/// Maximum number of reads in progress.
 const MAX_READS: usize = 8;
 
-/// What a holder has said last.
+/// The contents of a holder's latest request.
 #[derive(Debug)]
 struct HolderReport {
-    /// When it was last answered by this leader.
+    /// When this leader last answered the holder; its election if it has not answered yet.
     answered_at: Micros,
     received_at: Micros,
     quota_epoch: Epoch,
@@ -32,59 +32,59 @@
     demands: BTreeMap<BudgetId, Demand>,
 }
 
-/// A request that waits for its read.
+/// A request that waits for a linearizable read.
 #[derive(Clone, Copy, Debug)]
 struct WaitingRequest {
     holder: HolderId,
     request_id: u64,
 }
 
-/// Since when this leader has seen a quota being reduced.
+/// When this leader first saw a quota being reduced.
 #[derive(Clone, Copy, Debug)]
 struct ObservedReduction {
     epoch: Epoch,
     since: Micros,
 }
 
-/// Since when a holder has, or has not, a unit of a budget whose units go round.
+/// Whether a front holds a unit of a budget whose units rotate among the fronts, and since when.
 #[derive(Clone, Copy, Debug)]
 struct UnitTurn {
     holds_unit: bool,
     since: Micros,
 }
 
-/// Epochs of what a holder was last told, or notified of.
+/// The epochs that a holder last received in a response or was notified of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct NotifiedEpochs {
     quotas: Epoch,
     minimums: Epoch,
 }
 
-/// The leader's side of all leases, new with each election.
+/// The leader's side of all leases; created anew at each election.
 #[derive(Debug)]
 pub struct LeaseAllocator {
     settings: LeaseSettings,
-    /// Responses of earlier leaders were requested before this moment.
+    /// Requests that earlier leaders answered were sent before this moment.
     elected_at: Micros,
     reports: BTreeMap<HolderId, HolderReport>,
-    /// Holders that have asked and are about to join.
+    /// Holders that have sent a request and are about to join.
     joining: BTreeSet<HolderId>,
-    /// Requests since the last read began.
+    /// Requests received since the last read began.
     waiting: Vec<WaitingRequest>,
-    /// Requests of each read in progress.
+    /// Requests that wait for each read in progress.
     reads: BTreeMap<u64, Vec<WaitingRequest>>,
     next_read: u64,
-    /// Holders whose expiry was proposed: they are not answered.
+    /// Holders for which an `ExpireLease` is pending: their requests are not answered.
     expiring: BTreeSet<HolderId>,
     reductions: BTreeMap<(HolderId, BudgetId), ObservedReduction>,
-    /// When a budget was last in demand.
+    /// When each budget last had demand.
     last_demand: BTreeMap<BudgetId, Micros>,
     unit_turns: BTreeMap<(BudgetId, FrontId), UnitTurn>,
     notified: BTreeMap<HolderId, NotifiedEpochs>,
 }
 
 impl LeaseAllocator {
-    /// From the moment at which this process knows that it is the leader, or later.
+    /// `now` is the moment at which this process learned that it is the leader, or later.
     pub fn new(settings: LeaseSettings, now: Micros) -> LeaseAllocator {
         LeaseAllocator {
             settings,
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Takes a request. What it says counts at once, the response waits for a read.
+    /// Handles a request. Its contents are used at once; the response waits for a read.
     pub fn on_request(&mut self, state: &BudgetState, request: LeaseRequest, now: Micros) {
         let holder = request.holder;
         let Some(account) = state.account(holder.front) else { return };
@@ -128,7 +128,7 @@
         }
     }
 
-    /// The id of a read to begin for the requests that wait, if there are any.
+    /// Returns the id of a read to begin for the waiting requests, if there are any.
     pub fn begin_read(&mut self) -> Option<u64> {
         if self.waiting.is_empty() || self.reads.len() >= MAX_READS {
             return None;
@@ -139,9 +139,9 @@
         Some(read)
     }
 
-    /// A majority has acknowledged this leader since the read began, and `state` has everything that was committed then:
-    /// returns the responses to its requests. Earlier reads, whose acknowledgement was lost, are dropped: their requests are
-    /// sent again.
+    /// Called when a majority has acknowledged this leader since the read began and `state` contains everything that
+    /// was committed at that time. Returns the responses to the requests of the read. Earlier reads, whose
+    /// acknowledgements were lost, are dropped; their holders send the requests again.
     pub fn on_read_acknowledged(
         &mut self,
         state: &BudgetState,
@@ -167,8 +167,8 @@
         let quotas = state.current_holder(holder)?;
         let account = state.account(holder.front)?;
         self.reports.get_mut(&holder)?.answered_at = now;
-        let told = NotifiedEpochs { quotas: quotas.epoch, minimums: account.minimums_epoch };
-        self.notified.insert(holder, told);
+        let epochs_in_response = NotifiedEpochs { quotas: quotas.epoch, minimums: account.minimums_epoch };
+        self.notified.insert(holder, epochs_in_response);
         let granted = quotas.quotas.iter().map(|(budget, quota)| (*budget, quota.granted()));
         let minimums = account.minimums.iter().map(|(kind, minimum)| (*kind, minimum.granted()));
         Some(LeaseResponse {
@@ -183,8 +183,8 @@
         })
     }
 
-    /// When every lease of a holder must have expired, and what was begun under it must have ended: a response could still be
-    /// under way until then.
+    /// When every lease of a holder must have expired and the requests begun under it must have ended. A response may
+    /// still be in flight until the lease expires.
     pub fn lease_expiry(&self, holder: HolderId, state: &BudgetState) -> Micros {
         let answered_at = self.reports.get(&holder).map_or(self.elected_at, |report| report.answered_at);
         let holder_state = state.account(holder.front).and_then(|a| a.holders.get(&holder.incarnation));
@@ -195,10 +195,10 @@
         answered_at.max(self.elected_at) + self.settings.safe_expiry(state.longest_lease()) + running
     }
 
-    /// What is to be proposed now: holders that join, reductions that are confirmed or must have been carried out, expired
-    /// leases, and new quotas.
+    /// Returns the commands to propose now: holders that join, reductions that are confirmed or must have taken effect,
+    /// expired leases, and new quotas.
     pub fn propose(&mut self, state: &BudgetState, now: Micros) -> Vec<BudgetCommand> {
-        self.forget_former_holders(state);
+        self.remove_former_holders(state);
         let joining = std::mem::take(&mut self.joining);
         let mut commands: Vec<BudgetCommand> =
             joining.into_iter().map(|holder| BudgetCommand::Join { holder }).collect();
@@ -214,7 +214,7 @@
         commands
     }
 
-    fn forget_former_holders(&mut self, state: &BudgetState) {
+    fn remove_former_holders(&mut self, state: &BudgetState) {
         self.reports.retain(|holder, _| state.current_holder(*holder).is_some());
         self.expiring.retain(|holder| state.holders().any(|entry| entry.id == *holder));
         self.unit_turns.retain(|(budget, _), _| self.last_demand.contains_key(budget));
@@ -233,14 +233,15 @@
         commands
     }
 
-    /// A command of this leader's term was applied, whoever proposed it; or its proposal was rejected.
+    /// Called when a command of this leader's term was applied, whoever proposed it, or when its proposal was rejected.
     pub fn on_command_ended(&mut self, command: &BudgetCommand) {
         if let BudgetCommand::ExpireLease { holder, .. } = command {
             self.expiring.remove(holder);
         }
     }
 
-    /// Holders that should renew now: something has changed for them since they were last answered or notified.
+    /// Returns the holders that should renew now: their quotas or minimums have changed since the last response or
+    /// notification.
     pub fn holders_to_notify(&mut self, state: &BudgetState) -> Vec<HolderId> {
         let mut holders = Vec::new();
         for holder in self.reports.keys() {
@@ -263,7 +264,7 @@
         confirmed
     }
 
-    /// Reduced quotas whose holder has said that it uses no more, or whose leases from before must have expired.
+    /// Reduced quotas whose holders have confirmed that they use no more, or whose earlier leases must have expired.
     fn confirmed_quotas(&mut self, state: &BudgetState, now: Micros) -> Vec<ConfirmedReduction> {
         let mut confirmed = Vec::new();
         let before = std::mem::take(&mut self.reductions);
@@ -271,15 +272,15 @@
             let confirmed_epoch = self.reports.get(&entry.id).map(|report| report.quota_epoch);
             let reduced = entry.state.quotas.iter().filter(|(_, quota)| quota.is_being_reduced());
             for (budget, quota) in reduced {
-                let place = (entry.id, *budget);
-                let known = before.get(&place).filter(|observed| observed.epoch == quota.epoch);
-                let since = known.map_or(now, |observed| observed.since);
+                let key = (entry.id, *budget);
+                let observed_before = before.get(&key).filter(|observed| observed.epoch == quota.epoch);
+                let since = observed_before.map_or(now, |observed| observed.since);
                 let is_expired = now >= since + self.reduction_timeout(state, *budget);
                 if confirmed_epoch.is_some_and(|epoch| epoch >= quota.epoch) || is_expired {
                     let (holder, budget, epoch) = (entry.id, *budget, quota.epoch);
                     confirmed.push(ConfirmedReduction::Quota { holder, budget, epoch });
                 }
-                self.reductions.insert(place, ObservedReduction { epoch: quota.epoch, since });
+                self.reductions.insert(key, ObservedReduction { epoch: quota.epoch, since });
             }
         }
         confirmed
@@ -291,7 +292,7 @@
         self.settings.safe_expiry(state.longest_lease()) + running
     }
 
-    /// Reduced minimums whose front has said that it uses no more; a minimum never expires by itself.
+    /// Reduced minimums whose fronts have confirmed that they use no more; a minimum does not expire on its own.
     fn confirmed_minimums(&self, state: &BudgetState) -> Vec<ConfirmedReduction> {
         let mut confirmed = Vec::new();
         for (holder, report) in &self.reports {
--- a/core/budgets/src/command.rs
+++ b/core/budgets/src/command.rs
@@ -1,120 +1,120 @@
-//! Commands of the replicated log that change who may hold how much.
+//! Commands of the replicated log that change the allocations of budgets.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{BudgetId, BudgetKind, Epoch, FrontId, HolderId, Micros, PartsPerMillion};
 
-/// Most fronts that are accounted for.
+/// Maximum number of fronts in the state.
 pub const MAX_FRONTS: usize = 1024;
-/// Most budgets that have quotas.
+/// Maximum number of budgets that have quotas.
 pub const MAX_BUDGETS: usize = 1024;
-/// Most incarnations of one front that are accounted for.
+/// Maximum number of incarnations of one front in the state.
 pub const MAX_INCARNATIONS: usize = 4;
-/// Most changes in one command.
+/// Maximum number of changes in one command.
 pub const MAX_CHANGES: usize = 4096;
 
-/// The guaranteed minimums of a kind of budgets.
+/// How the guaranteed minimums of one kind of budget are computed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MinimumRule {
-    /// The part of each such budget that is set aside for the minimums of all fronts together.
+    /// The share of each such budget that is set aside for the minimums of all fronts together.
     pub set_aside: PartsPerMillion,
-    /// The smallest useful minimum: where an even division is below it, fewer fronts have one.
+    /// The smallest useful minimum: if an even division is below it, only some of the fronts get a minimum.
     pub unit: PartsPerMillion,
 }
 
-/// One command. Each keeps the invariant of [`BudgetState`](crate::BudgetState) or does nothing.
+/// A command of the log. It preserves the invariant of [`BudgetState`](crate::BudgetState) or does nothing.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum BudgetCommand {
-    /// Replaces the list of fronts and their minimums; a version that is not higher changes nothing.
+    /// Replaces the list of fronts and their minimums; rejected unless its version is higher than the one in force.
     UpdateFronts {
         /// Version of the list.
         version: u64,
-        /// All fronts.
+        /// All fronts of the new list.
         fronts: Vec<FrontId>,
-        /// The minimums by kind.
+        /// The rule for the minimums of each kind.
         minimums: Vec<(BudgetKind, MinimumRule)>,
         /// Length of a lease.
         lease: Micros,
     },
-    /// An incarnation of a listed front begins; earlier ones are told to use nothing.
+    /// A new incarnation of a listed front joins; the quotas of earlier ones are revoked.
     Join {
         /// The new incarnation.
         holder: HolderId,
     },
-    /// The holder has stopped spending for good.
+    /// The holder has permanently stopped spending.
     Leave {
-        /// The holder.
+        /// The leaving holder.
         holder: HolderId,
     },
-    /// Quotas as they should be. A quota rises as far as there is room.
+    /// Sets quotas. A quota is raised only as far as the budget has unallocated room.
     Allocate {
         /// The new quotas.
         changes: Vec<(HolderId, BudgetId, PartsPerMillion)>,
     },
-    /// Holders use no more than what they are granted: they have said so, or their leases have expired since.
+    /// Holders use no more than they are granted: they have confirmed it, or their earlier leases have expired.
     ConfirmReductions {
-        /// What is confirmed.
+        /// The confirmed reductions.
         reductions: Vec<ConfirmedReduction>,
     },
-    /// All leases of this holder have expired, if nothing has changed for it since this epoch.
+    /// All leases of this holder have expired; rejected if the holder's quotas have changed since this epoch.
     ExpireLease {
         /// The holder.
         holder: HolderId,
-        /// Its epoch when that was found.
+        /// The holder's epoch when the expiry was detected.
         epoch: Epoch,
     },
-    /// The machine of an unlisted front is off for good: its minimums are free.
+    /// The machine of an unlisted front is permanently off: its minimums are released.
     RemoveFront {
-        /// The front.
+        /// The front to remove.
         front: FrontId,
     },
 }
 
-/// A reduction that its holder has carried out, if nothing has changed since the epoch.
+/// A reduction that its holder has applied; ignored if the allocation has changed since the epoch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ConfirmedReduction {
-    /// Of a quota.
+    /// Reduction of a quota.
     Quota {
-        /// Whose.
+        /// The holder of the quota.
         holder: HolderId,
-        /// Of which budget.
+        /// The budget of the quota.
         budget: BudgetId,
         /// Epoch of the reduction.
         epoch: Epoch,
     },
-    /// Of a guaranteed minimum.
+    /// Reduction of a guaranteed minimum.
     Minimum {
-        /// Whose.
+        /// The front with the minimum.
         front: FrontId,
-        /// Of which budgets.
+        /// The kind of budget.
         kind: BudgetKind,
         /// Epoch of the reduction.
         epoch: Epoch,
     },
 }
 
-/// Why a command did nothing.
+/// Why a command did nothing. Replies to operators contain the names of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 pub enum CommandRejected {
-    /// The list in force is as new.
-    #[error("the list of fronts in force is as new")]
+    /// The list's version is not higher than that of the list in force.
+    #[error("the version of the list of fronts is not higher than the one in force")]
     StaleFrontList,
-    /// More than the state's bounds allow.
-    #[error("more fronts, incarnations or changes than are accounted for")]
+    /// A limit on fronts, incarnations or changes is exceeded.
+    #[error("too many fronts, incarnations of a front, or changes in one command")]
     LimitExceeded,
-    /// Minimums above the total.
-    #[error("the guaranteed minimums are above the total")]
+    /// The guaranteed minimums exceed the total of a budget.
+    #[error("the guaranteed minimums exceed the total of the budget")]
     ExceedsTotal,
-    /// The front is not listed.
-    #[error("the front is not listed")]
+    /// The front is not in the list in force, or the state has no account for it.
+    #[error("the front is not in the list of fronts")]
     UnknownFront,
     /// A later incarnation of this front has joined, or this one has left.
     #[error("a later incarnation of the front has joined, or this one has left")]
     Superseded,
-    /// Something has changed since the command's epoch.
-    #[error("something has changed since")]
+    /// The holder's quotas have changed since the command's epoch.
+    #[error("the holder's quotas have changed since the epoch of the command")]
     StaleEpoch,
-    /// Only an unlisted front can be removed.
-    #[error("the front is still listed")]
+    /// Only a front that is no longer listed can be removed.
+    #[error("the front is still in the list of fronts")]
     FrontStillListed,
 }
--- a/core/budgets/src/ids.rs
+++ b/core/budgets/src/ids.rs
@@ -1,19 +1,19 @@
-//! Fronts, their incarnations, and budgets by their identities.
+//! Identifiers of fronts, their incarnations, and budgets.
 
 use std::hash::Hasher;
 
 use serde::{Deserialize, Serialize};
 use siphasher::sip::SipHasher13;
 
-/// Keys of the hash that makes an id of a name; a change of them would change every id.
+/// Keys of the hash that derives an id from a name; changing them would change every id.
 const NAME_HASH_KEYS: (u64, u64) = (0x656c_6d74_6964_6521, 0x6672_6f6e_7473_2e31);
 
-/// A front by its name, whatever process runs under it.
+/// A front, identified by its name across restarts of its process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct FrontId(pub u64);
 
 impl FrontId {
-    /// The id of a name, the same at every front; the configuration rejects two names with one id.
+    /// Derives the id from a name; equal at every front. The configuration rejects two names with the same id.
     pub fn from_name(name: &str) -> FrontId {
         let mut hasher = SipHasher13::new_with_keys(NAME_HASH_KEYS.0, NAME_HASH_KEYS.1);
         hasher.write(name.as_bytes());
@@ -21,7 +21,7 @@
     }
 }
 
-/// Which run of a front it is: a later one has a higher number.
+/// Number of one run of a front's process; later runs have higher numbers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation(pub u64);
 
@@ -34,14 +34,14 @@
     pub incarnation: Incarnation,
 }
 
-/// Number of a change of what a holder may use; it only rises.
+/// Sequence number of a change in what a holder may use; it only increases.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Epoch(pub u64);
 
 /// What a budget limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum BudgetKind {
-    /// Retries.
+    /// Retried attempts.
     Retries,
     /// Work sent to a cache in slow start.
     SlowStartCache,
@@ -49,7 +49,7 @@
     SlowStartParent,
     /// Fetches from the origin.
     OriginFetches,
-    /// Fills through a location's incoming link.
+    /// Cache fills through a location's incoming link.
     LinkFills,
     /// A shop's requests per second.
     ShopRate,
@@ -57,19 +57,19 @@
     ShopConcurrency,
 }
 
-/// How a budget is spent, which decides what makes a part of it free again.
+/// How a budget is spent, which determines when a spent unit becomes available again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SpendingModel {
-    /// From a token bucket: what was spent does not come back.
+    /// Spent from a token bucket: a spent unit is not returned.
     TokenBucket,
-    /// Within a sliding window: what was spent counts for one window.
+    /// Spent within a sliding window: a unit counts until one window after it was spent.
     SlidingWindow,
-    /// While a request runs: it comes back when the request ends.
+    /// Held while a request runs: the unit is returned when the request ends.
     Concurrency,
 }
 
 impl BudgetKind {
-    /// Every kind.
+    /// All kinds.
     pub const ALL: [BudgetKind; 7] = [
         BudgetKind::Retries,
         BudgetKind::SlowStartCache,
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Its name in configuration files and records.
+    /// The kind's name in configuration files and records.
     pub fn name(self) -> &'static str {
         match self {
             BudgetKind::Retries => "retries",
@@ -105,7 +105,7 @@
         }
     }
 
-    /// The kind of this name.
+    /// The kind with this name.
     pub fn from_name(name: &str) -> Option<BudgetKind> {
         BudgetKind::ALL.into_iter().find(|kind| kind.name() == name)
     }
@@ -114,8 +114,8 @@
 /// One budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct BudgetId {
-    /// What it limits.
+    /// What the budget limits.
     pub kind: BudgetKind,
-    /// The cache node, location or shop that it is of; 0 for a budget of the whole fleet.
+    /// The cache node, location or shop that the budget belongs to; 0 for a budget of the whole fleet.
     pub resource: u64,
 }
--- a/core/budgets/src/lease_holder.rs
+++ b/core/budgets/src/lease_holder.rs
@@ -1,14 +1,14 @@
-//! The holder's side of a lease: its requests, and what a response is worth.
+//! The holder's side of a lease: sends requests and evaluates the responses.
 //!
-//! The lease expires at (moment before the request) + duration, by the holder's clock. New guaranteed minimums go to the store
-//! before they are used; see [`LeaseHolder::on_response`].
+//! The lease expires at (time before sending the request) + duration, by the holder's clock. New guaranteed minimums
+//! are stored before they are used; see [`LeaseHolder::on_response`].
 
 use std::collections::VecDeque;
 
 use crate::lease::{Demand, Grant, GuaranteedMinimums, LeaseRequest, LeaseResponse, MAX_BUDGETS_PER_LEASE};
 use crate::{BudgetId, Clocks, Epoch, HolderId, LeaseSettings, Micros};
 
-/// Most requests whose responses may still come.
+/// Maximum number of requests in flight; beyond it the response to the oldest is ignored.
 const MAX_OUTSTANDING_REQUESTS: usize = 8;
 
 #[derive(Clone, Copy, Debug)]
@@ -17,12 +17,12 @@
     sent_at: Clocks,
 }
 
-/// What a response gives.
+/// What a response contains that is new to the holder.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Renewal {
-    /// For the ledger; `None` for a response that is too late, or older than what is held.
+    /// For the ledger; `None` if the response came too late or is older than the current grant.
     pub grant: Option<Grant>,
-    /// New minimums, to be stored before use.
+    /// New minimums, which must be stored before use.
     pub minimums: Option<GuaranteedMinimums>,
 }
 
@@ -33,7 +33,7 @@
     settings: LeaseSettings,
     next_request: u64,
     outstanding: VecDeque<OutstandingRequest>,
-    /// The highest epoch that was granted.
+    /// The highest epoch granted so far.
     granted_epoch: Epoch,
     /// The ledger uses no more than the quotas of this epoch.
     confirmed_epoch: Epoch,
@@ -42,7 +42,8 @@
 }
 
 impl LeaseHolder {
-    /// `first_request` differs from incarnation to incarnation, so that a response to an earlier one's request is not taken.
+    /// `first_request` must differ between incarnations, so that a response to an earlier one's request is not
+    /// accepted.
     pub fn new(id: HolderId, settings: LeaseSettings, first_request: u64, minimums: Epoch) -> LeaseHolder {
         LeaseHolder {
             id,
@@ -56,32 +57,32 @@
         }
     }
 
-    /// Who it is.
+    /// The id of this holder.
     pub fn id(&self) -> HolderId {
         self.id
     }
 
-    /// The times that it goes by.
+    /// The lease settings in use.
     pub fn settings(&self) -> LeaseSettings {
         self.settings
     }
 
-    /// The ledger uses no more than the quotas of this epoch.
+    /// Records that the ledger uses no more than the quotas of this epoch.
     pub fn confirm_quotas(&mut self, epoch: Epoch) {
         self.confirmed_epoch = self.confirmed_epoch.max(epoch);
     }
 
-    /// The store has the minimums of this epoch, and the ledger uses no more.
+    /// Records that the minimums of this epoch are stored and that the ledger uses no more than these.
     pub fn confirm_minimums(&mut self, epoch: Epoch) {
         self.confirmed_minimums = self.confirmed_minimums.max(epoch);
     }
 
-    /// When the last response came that gave a grant, by the monotonic clock.
+    /// When the last response with a grant arrived, by the monotonic clock.
     pub fn last_renewal(&self) -> Option<Micros> {
         self.last_renewal
     }
 
-    /// A request to send now.
+    /// Creates a request, to be sent now.
     pub fn request(&mut self, demands: &[(BudgetId, Demand)], now: Clocks) -> LeaseRequest {
         let request_id = self.next_request;
         self.next_request += 1;
@@ -98,9 +99,9 @@
         }
     }
 
-    /// What a response gives, if it is one to a request of this incarnation and no older than what is held. A late one gives
-    /// no grant: the lease counts from before the request. Minimums are given only if they are new; they have to be stored
-    /// before they are used.
+    /// Evaluates a response: it must answer an outstanding request of this incarnation. Returns no grant if the
+    /// response is older than the current grant or arrives after the lease, which counts from before the request, has
+    /// expired. Returns minimums only if they are new; they must be stored before they are used.
     pub fn on_response(&mut self, response: &LeaseResponse, now: Clocks) -> Renewal {
         if response.holder != self.id || response.quotas.len() > MAX_BUDGETS_PER_LEASE {
             return Renewal::default();
@@ -121,8 +122,8 @@
     }
 
     fn take_outstanding(&mut self, request_id: u64) -> Option<Clocks> {
-        let place = self.outstanding.iter().position(|request| request.id == request_id)?;
-        self.outstanding.remove(place).map(|request| request.sent_at)
+        let index = self.outstanding.iter().position(|request| request.id == request_id)?;
+        self.outstanding.remove(index).map(|request| request.sent_at)
     }
 
     fn new_minimums(&self, response: &LeaseResponse) -> Option<GuaranteedMinimums> {
--- a/core/budgets/src/ledger.rs
+++ b/core/budgets/src/ledger.rs
@@ -1,8 +1,9 @@
-//! Local quota ledger: what this front may use of each budget, checked with the clocks of the moment of spending.
+//! Local quota ledger: what this front may use of each budget. Leases are checked against the clocks at each spending.
 //!
-//! **Invariants.** A bucket's content is never above quota × burst and rises by quota × rate a second at most; a new quota is
-//! empty, a reduced one is cut with its content, an expired one is emptied. A window's quota rises one window after it was
-//! granted. Nothing is spent by a quota whose lease has expired by either clock.
+//! **Invariants.** A bucket's content never exceeds quota × burst and rises by at most quota × rate per second. The
+//! bucket of a new quota starts empty, a reduction of the quota also cuts the content, and expiry empties the bucket. A
+//! raised quota of a sliding window takes effect one window after its grant. Nothing is spent from a quota whose lease
+//! has expired by either clock.
 
 mod bucket;
 mod demand;
@@ -17,75 +18,75 @@
 use demand::DemandEstimate;
 use window::WindowQuota;
 
-/// Most budgets that a front accounts for.
+/// Maximum number of budgets in a front's ledger.
 const MAX_BUDGETS: usize = 512;
-/// Most budgets that a request names though they are idle.
+/// Maximum number of idle budgets listed in a lease request.
 const MAX_IDLE_DEMANDS: usize = 32;
-/// Longest time to fill a bucket that a demand names, in milliseconds: an hour.
+/// Upper bound of the refill time reported with a demand, in milliseconds: one hour.
 const MAX_REFILL_MS: f64 = 3.6e6;
 
-/// The limit of a whole budget, by the model of its kind.
+/// The limit of a whole budget; its spending model determines which fields apply.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TotalLimit {
-    /// Units a second that fill a token bucket; unused by the other models.
+    /// Refill rate of a token bucket in units per second; unused by the other models.
     pub rate: f64,
-    /// Units at once: of a bucket, of one window, or running.
+    /// Maximum number of units in a bucket, in one window, or running concurrently.
     pub burst: f64,
     /// Length of a sliding window; unused by the other models.
     pub window: Micros,
 }
 
-/// What a request is worth against others that need the same budget.
+/// Priority of a request relative to others that need the same budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Priority {
     /// Signups.
     High,
-    /// All others.
+    /// All other requests.
     Low,
 }
 
-/// What a unit was taken from; for records.
+/// What a unit was spent from, for records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PermitSource {
-    /// The quota of the lease.
+    /// The leased quota.
     Lease,
     /// The guaranteed minimum.
     GuaranteedMinimum,
 }
 
-/// A unit that was taken and may turn out not to be used.
+/// A unit that was taken and may turn out to be unused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-#[must_use = "it is given back only by `QuotaLedger::resolve`"]
+#[must_use = "an unused unit is returned only by `QuotaLedger::resolve`"]
 pub struct Reservation {
-    /// What it was taken from.
+    /// What the unit was taken from.
     pub source: PermitSource,
-    /// When it was taken: that is when it counts.
+    /// When the unit was taken, which is when it counts as spent.
     pub taken_at: Clocks,
     bucket_generation: u32,
     amount: MicroUnits,
 }
 
-/// What became of a reserved unit.
+/// Whether a reserved unit was used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReservationOutcome {
-    /// It was spent.
+    /// The unit was spent.
     Used,
-    /// It comes back, unless its quota has expired meanwhile.
+    /// The unit is returned, unless its quota has expired in the meantime.
     Unused,
 }
 
-/// The parts of a budget that this front may use now.
+/// The shares of a budget that this front may use now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LocalQuota {
-    /// Which budget.
+    /// The budget.
     pub budget: BudgetId,
-    /// By its lease.
+    /// Share by lease.
     pub leased: PartsPerMillion,
-    /// By its guaranteed minimum.
+    /// Share by guaranteed minimum.
     pub minimum: PartsPerMillion,
 }
 
-/// One budget as this front has it.
+/// This front's quotas and demand of one budget.
 #[derive(Debug)]
 struct LocalBudget {
     limit: TotalLimit,
@@ -111,7 +112,7 @@
         self.minimum.refill(&self.limit, now);
     }
 
-    /// Cuts what is above the new limit.
+    /// Changes the limit, and cuts bucket contents that exceed it.
     fn change_limit(&mut self, limit: TotalLimit, minimum: PartsPerMillion, now: Micros) {
         self.refill(now);
         self.limit = limit;
@@ -120,7 +121,7 @@
         self.leased.resize(&limit, leased, now);
     }
 
-    fn revoke_lease(&mut self, now: Micros) {
+    fn revoke_leased_quota(&mut self, now: Micros) {
         self.leased.expire(now);
         self.window.grant(0, 0, now);
     }
@@ -134,7 +135,7 @@
         }
     }
 
-    /// The two sources; first the one that is nearer to being full, whose refill would be lost.
+    /// The two sources. The one closer to being full comes first, because its refill would be lost when it overflows.
     fn sources_by_fullness(&self) -> [PermitSource; 2] {
         if self.minimum.is_fuller_than(&self.leased, &self.limit) {
             [PermitSource::GuaranteedMinimum, PermitSource::Lease]
@@ -151,7 +152,7 @@
         self.minimum.capacity(&self.limit) / MICRO_UNITS
     }
 
-    /// More requests run than it may have running.
+    /// Whether more requests are running than the quotas allow.
     fn is_overrun(&self) -> bool {
         self.running > self.leased_concurrency() + self.minimum_concurrency()
     }
@@ -174,7 +175,7 @@
         self.demand_updated_at = now;
     }
 
-    /// Units a second, or units at once, that the whole budget bears.
+    /// Units per second, or concurrent units, that the whole budget allows.
     fn total_rate(&self, model: SpendingModel) -> f64 {
         match model {
             SpendingModel::TokenBucket => self.limit.rate,
@@ -207,7 +208,7 @@
     }
 }
 
-/// What this front may use of each budget.
+/// The quotas of this front and what it has spent of them.
 #[derive(Debug)]
 pub struct QuotaLedger {
     settings: LeaseSettings,
@@ -229,7 +230,8 @@
         }
     }
 
-    /// Adds a budget, which begins empty, or changes its limit, which cuts what is above.
+    /// Adds a budget, which starts empty, or changes the limit of an existing one, which cuts contents above the new
+    /// limit.
     pub fn configure_budget(&mut self, id: BudgetId, limit: TotalLimit, now: Clocks) {
         let minimum = self.minimums.of_kind(id.kind);
         if let Some(budget) = self.budgets.get_mut(&id) {
@@ -257,7 +259,7 @@
         self.budgets.insert(id, budget);
     }
 
-    /// Removes a budget, such as that of a cache node whose slow start is over.
+    /// Removes a budget, such as that of a cache node whose slow start has ended.
     pub fn remove_budget(&mut self, id: BudgetId) {
         self.budgets.remove(&id);
     }
@@ -271,7 +273,7 @@
         self.settings.is_in_force(lease.requested_at, lease.expires_at, now)
     }
 
-    /// Whether leased quotas may be spent now; if they no longer may, they are emptied.
+    /// Whether leased quotas may be spent now. Revokes them if the lease has expired.
     fn check_lease(&mut self, now: Clocks) -> bool {
         if self.has_valid_lease(now) {
             return true;
@@ -284,11 +286,11 @@
 
     fn revoke_lease_quotas(&mut self, now: Clocks) {
         for budget in self.budgets.values_mut() {
-            budget.revoke_lease(now.monotonic);
+            budget.revoke_leased_quota(now.monotonic);
         }
     }
 
-    /// Takes guaranteed minimums that the store has.
+    /// Applies guaranteed minimums, which must have been stored before. Those of an earlier epoch are ignored.
     pub fn apply_minimums(&mut self, minimums: GuaranteedMinimums, now: Clocks) {
         if minimums.epoch < self.minimums.epoch {
             return;
@@ -300,8 +302,8 @@
         }
     }
 
-    /// Takes the quotas of a lease: from now on no more than these is used. An expired lease, or one of an earlier epoch,
-    /// gives nothing.
+    /// Applies the quotas of a lease; from now on no more than these is used. A lease that has expired, or is of an
+    /// earlier epoch, is ignored.
     pub fn apply_grant(&mut self, grant: Grant, now: Clocks) {
         self.check_lease(now);
         if grant.epoch < self.epoch || !self.is_in_force(&grant, now) {
@@ -314,14 +316,15 @@
         self.lease = Some(grant);
     }
 
-    /// Spends no leased quota from now on, whatever still comes: the front gives them back. Minimums stay.
+    /// Stops all spending of leased quotas because the front gives them back; later grants are ignored. Minimums stay.
     pub fn close(&mut self, now: Clocks) {
         self.lease = None;
         self.epoch = Epoch(u64::MAX);
         self.revoke_lease_quotas(now);
     }
 
-    /// The epoch up to which the holder may confirm that it uses no more; none while more requests run than it may have.
+    /// The epoch up to which the holder may confirm reductions; `None` while more requests are running than its quotas
+    /// allow.
     pub fn confirmable_epoch(&mut self, now: Clocks) -> Option<Epoch> {
         self.check_lease(now);
         let is_overrun = |(id, budget): (&BudgetId, &LocalBudget)| {
@@ -335,7 +338,7 @@
         self.minimums.epoch
     }
 
-    /// The budget after its demand was recorded and both of its buckets were refilled.
+    /// Records demand, refills both buckets and returns the budget.
     fn prepare(
         &mut self,
         id: BudgetId,
@@ -350,7 +353,7 @@
         Some(budget)
     }
 
-    /// Spends units from the lease or the minimum; units that can't be had count as demand all the same.
+    /// Spends units from the lease or the minimum. Units that are not available still count as demand.
     pub fn try_acquire(
         &mut self,
         id: BudgetId,
@@ -364,8 +367,8 @@
         sources.into_iter().find(|source| budget.bucket(*source).try_take(amount))
     }
 
-    /// As [`QuotaLedger::try_acquire`], from both together: the source that is nearer to being full gives first, the other one
-    /// the rest.
+    /// Like [`QuotaLedger::try_acquire`], but may combine both sources: takes first from the one that is closer to
+    /// being full, and the rest from the other.
     pub fn try_acquire_combined(
         &mut self,
         id: BudgetId,
@@ -390,7 +393,7 @@
         Some(if is_all_minimum { PermitSource::GuaranteedMinimum } else { PermitSource::Lease })
     }
 
-    /// Takes a unit that may turn out not to be used; it counts from now on until [`QuotaLedger::resolve`].
+    /// Takes a unit that may turn out to be unused; it counts as spent from now until [`QuotaLedger::resolve`].
     pub fn reserve(&mut self, id: BudgetId, priority: Priority, now: Clocks) -> Option<Reservation> {
         let source = self.try_acquire(id, 1.0, priority, now)?;
         let bucket = self.budgets.get_mut(&id)?.bucket(source);
@@ -399,7 +402,7 @@
         Some(Reservation { source, taken_at: now, bucket_generation, amount: MICRO_UNITS })
     }
 
-    /// Ends a reservation.
+    /// Ends a reservation, and returns its unit if it was unused.
     pub fn resolve(
         &mut self,
         id: BudgetId,
@@ -417,7 +420,7 @@
         }
     }
 
-    /// Units that [`QuotaLedger::try_acquire_combined`] could spend now, one after the other.
+    /// Number of units that consecutive calls of [`QuotaLedger::try_acquire_combined`] could spend now.
     pub fn available(&mut self, id: BudgetId, now: Clocks) -> f64 {
         self.check_lease(now);
         let Some(budget) = self.budgets.get_mut(&id) else { return 0.0 };
@@ -430,7 +433,7 @@
         self.lease.as_ref().is_some_and(|lease| self.is_in_force(lease, now))
     }
 
-    /// The part of a window's budget that this front may use now, lease and minimum together, as a fraction of 1.
+    /// The share of a sliding-window budget that this front may use now by lease and minimum, as a fraction of 1.
     pub fn window_fraction(&mut self, id: BudgetId, now: Clocks) -> f64 {
         self.check_lease(now);
         let minimum = self.minimums.of_kind(id.kind);
@@ -439,7 +442,7 @@
         f64::from(budget.window.in_force() + minimum) / f64::from(TOTAL)
     }
 
-    /// Begins a unit that runs until [`QuotaLedger::end_running`]; false if no more may run.
+    /// Takes a concurrency unit, held until [`QuotaLedger::end_running`]; returns false if none is free.
     pub fn begin_running(&mut self, id: BudgetId, priority: Priority, now: Clocks) -> bool {
         let has_lease = self.check_lease(now);
         let Some(budget) = self.budgets.get_mut(&id) else { return false };
@@ -450,22 +453,22 @@
         has_room
     }
 
-    /// Ends a unit that ran.
+    /// Returns a concurrency unit.
     pub fn end_running(&mut self, id: BudgetId) {
         if let Some(budget) = self.budgets.get_mut(&id) {
             budget.running = budget.running.saturating_sub(1);
         }
     }
 
-    /// Notes demand for a window's budget, which is spent elsewhere.
+    /// Records demand for a sliding-window budget, whose spending is counted outside the ledger.
     pub fn record_demand(&mut self, id: BudgetId, units: f64, priority: Priority, now: Clocks) {
         if let Some(budget) = self.budgets.get_mut(&id) {
             budget.record_demand(units, priority, now.monotonic);
         }
     }
 
-    /// The demands of a lease request. Idle budgets are named as well, as long as they are few: what nobody needs is given to
-    /// those who name a budget, and to no others.
+    /// The demands for a lease request. Up to `MAX_IDLE_DEMANDS` idle budgets are listed as well, because unneeded
+    /// quota is given only to holders that list the budget.
     pub fn demands(&mut self, now: Clocks) -> Vec<(BudgetId, Demand)> {
         let mut demands = Vec::new();
         let mut idle = Vec::new();
@@ -485,7 +488,7 @@
         self.lease.as_ref().filter(|lease| self.is_in_force(lease, now)).map(|lease| lease.expires_at)
     }
 
-    /// The quotas in force.
+    /// The quotas of all budgets that are in force.
     pub fn quotas(&mut self, now: Clocks) -> Vec<LocalQuota> {
         self.check_lease(now);
         let quota = |(id, budget): (&BudgetId, &LocalBudget)| {
--- a/core/budgets/src/ledger/window.rs
+++ b/core/budgets/src/ledger/window.rs
@@ -1,10 +1,10 @@
-//! The quota of a sliding window: a rise takes effect one window after its grant, a reduction at once.
+//! The quota of a sliding window: a rise takes effect one window after its grant, a reduction immediately.
 
 use std::collections::VecDeque;
 
 use crate::{Micros, PartsPerMillion};
 
-/// Most rises that wait to take effect; a further one takes the place of the last.
+/// Maximum number of rises waiting to take effect; a further one replaces the last.
 const MAX_PENDING_RISES: usize = 16;
 
 #[derive(Clone, Copy, Debug)]
@@ -16,12 +16,12 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct WindowQuota {
     in_force: PartsPerMillion,
-    /// The earliest first, each above the one before.
+    /// Earliest first; each quota is higher than the one before.
     pending: VecDeque<PendingRise>,
 }
 
 impl WindowQuota {
-    /// What is in force since the last [`WindowQuota::advance`].
+    /// The quota in force as of the last [`WindowQuota::advance`].
     pub(super) fn in_force(&self) -> PartsPerMillion {
         self.in_force
     }
@@ -37,7 +37,7 @@
             is_rise
         });
         if quota > highest {
-            // Each grant waits for its own window: one that follows does not delay those before it.
+            // Each grant waits for its own window: a later grant does not delay earlier ones.
             if self.pending.len() >= MAX_PENDING_RISES {
                 self.pending.pop_back();
             }
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Puts the rises into force that are due.
+    /// Applies the rises that are due.
     pub(super) fn advance(&mut self, now: Micros) {
         while let Some(rise) = self.pending.front().copied().filter(|rise| now >= rise.effective_at) {
             self.in_force = rise.quota;
--- a/core/budgets/src/settings.rs
+++ b/core/budgets/src/settings.rs
@@ -1,31 +1,31 @@
-//! The times that leases go by, and the clocks that they are measured with.
+//! Durations and tolerances of leases, and the clocks that they are measured with.
 
 use serde::{Deserialize, Serialize};
 
 use crate::Micros;
 
-/// The times that leases go by; the same for all fronts of an installation.
+/// Durations and tolerances of leases; the same for all fronts of an installation.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaseSettings {
-    /// Length of a lease by the front's own file; the one in force comes with the responses.
+    /// Length of a lease in the front's own settings file; the length in force comes with the responses.
     pub duration: Micros,
-    /// How much faster one clock may run than another, as a fraction of 1.
+    /// Maximum difference between the rates of two clocks, as a fraction of 1.
     pub drift: f64,
-    /// Added to every wait for an expiry.
+    /// Safety margin added to every wait for a lease to expire.
     pub slack: Micros,
-    /// How far the two clocks of a machine may diverge during a lease.
+    /// Maximum divergence of the two clocks of a machine during a lease.
     pub max_clock_divergence: Micros,
-    /// The longest deadline of a request: one that runs when the lease expires may go on for so long.
+    /// The longest deadline of a request: a request in flight when the lease expires may run for up to this long.
     pub max_request_deadline: Micros,
 }
 
 impl LeaseSettings {
-    /// After this long by the leader's clock, a lease of this length has expired by the holder's.
+    /// How long the leader waits, by its own clock, until a lease of this length has expired by the holder's clock.
     pub fn safe_expiry(&self, duration: Micros) -> Micros {
         (duration as f64 * (1.0 + self.drift)).ceil() as Micros + self.slack
     }
 
-    /// How often a holder renews its lease.
+    /// Interval between a holder's lease renewals.
     pub fn renewal_interval(&self) -> Micros {
         (self.duration / 4).max(1)
     }
@@ -41,14 +41,14 @@
 /// Both clocks of a machine at one moment, in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Clocks {
-    /// Never goes back; may stand still while the machine sleeps.
+    /// Never goes backwards; may stop while the machine is suspended.
     pub monotonic: Micros,
-    /// Unix time, which may be set.
+    /// Unix time, which may be set forwards or backwards.
     pub wall: Micros,
 }
 
 impl Clocks {
-    /// By how much the two clocks have diverged since another moment.
+    /// How far the two clocks have diverged since an earlier reading.
     pub fn divergence_since(&self, since: Clocks) -> Micros {
         let monotonic = i128::from(self.monotonic) - i128::from(since.monotonic);
         let wall = i128::from(self.wall) - i128::from(since.wall);
--- a/core/budgets/src/state.rs
+++ b/core/budgets/src/state.rs
@@ -1,7 +1,8 @@
-//! Who may hold how much: changed only by commands of the replicated log, the same wherever they are applied.
+//! The replicated allocations of all budgets. Only commands of the log change them, with the same result at every
+//! replica.
 //!
-//! For each budget `reserved for minimums + committed quotas <= TOTAL`, and committed minimums are within what is reserved.
-//! Every command keeps that or does nothing; none needs a clock.
+//! For each budget, `reserved for minimums + committed quotas <= TOTAL`, and the committed minimums do not exceed what
+//! is reserved. Every command preserves this or does nothing; none depends on a clock.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,24 +14,24 @@
     Incarnation, Micros, MinimumRule, PartsPerMillion, TOTAL,
 };
 
-/// What a holder may be using at most, and what it is to use.
+/// A quota or minimum: what its holder may still be using, and what it should use.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Allocation {
-    /// What it may still be using: not available to others.
+    /// What the holder may still be using; not available to others.
     pub committed: PartsPerMillion,
-    /// What it should have.
+    /// What the holder should have.
     pub target: PartsPerMillion,
     /// Epoch of the last change of [`Allocation::granted`].
     pub epoch: Epoch,
 }
 
 impl Allocation {
-    /// What the holder is told to use.
+    /// What the holder is told that it may use.
     pub fn granted(&self) -> PartsPerMillion {
         self.target.min(self.committed)
     }
 
-    /// Whether the holder may still be using more than it is told to.
+    /// Whether the holder may still be using more than it is granted.
     pub fn is_being_reduced(&self) -> bool {
         self.committed > self.granted()
     }
@@ -39,9 +40,9 @@
 /// The quotas of one incarnation of a front.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HolderState {
-    /// By budget.
+    /// Quotas by budget.
     pub quotas: BTreeMap<BudgetId, Allocation>,
-    /// Epoch of the last change of anything that it is told.
+    /// Epoch of the holder's join, or of the last change or expiry of its granted quotas.
     pub epoch: Epoch,
 }
 
@@ -55,18 +56,18 @@
     }
 }
 
-/// All that is accounted for one front.
+/// Everything that the state has of one front.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FrontAccount {
-    /// It is in the list in force.
+    /// The front is in the list in force.
     pub is_listed: bool,
-    /// The latest incarnation that has joined; lower ones never come back.
+    /// The latest incarnation that has joined; lower ones can no longer join.
     pub latest_incarnation: Incarnation,
-    /// That incarnation has not left.
+    /// The latest incarnation has joined and has not left.
     pub is_active: bool,
-    /// Its guaranteed minimums.
+    /// Its guaranteed minimums by kind of budget.
     pub minimums: BTreeMap<BudgetKind, Allocation>,
-    /// Epoch of the last change of its minimums.
+    /// Epoch of the last change of its granted minimums.
     pub minimums_epoch: Epoch,
     /// Its incarnations that may still be spending.
     pub holders: BTreeMap<Incarnation, HolderState>,
@@ -77,8 +78,8 @@
         self.is_active && self.latest_incarnation == incarnation
     }
 
-    /// Sets the target of a minimum; its epoch changes only with what is granted.
-    fn retarget_minimum(&mut self, kind: BudgetKind, target: PartsPerMillion, epoch: Epoch) {
+    /// Sets the target of a minimum; its epoch changes only if the granted amount changes.
+    fn set_minimum_target(&mut self, kind: BudgetKind, target: PartsPerMillion, epoch: Epoch) {
         if target == 0 && !self.minimums.contains_key(&kind) {
             return;
         }
@@ -92,10 +93,10 @@
     }
 }
 
-/// A holder with what it has.
+/// A holder with its quotas.
 #[derive(Clone, Copy, Debug)]
 pub struct HolderEntry<'a> {
-    /// Who.
+    /// The holder.
     pub id: HolderId,
     /// Its quotas.
     pub state: &'a HolderState,
@@ -108,15 +109,15 @@
 pub struct BudgetState {
     front_list_version: u64,
     minimum_rules: BTreeMap<BudgetKind, MinimumRule>,
-    /// Withheld from quotas, by kind.
+    /// Reserved for minimums and unavailable to quotas, by kind.
     reserved: BTreeMap<BudgetKind, PartsPerMillion>,
     accounts: BTreeMap<FrontId, FrontAccount>,
     /// Sum of the committed quotas of each budget.
     committed_quotas: BTreeMap<BudgetId, PartsPerMillion>,
     epoch: Epoch,
-    /// Length of a lease that is granted now.
+    /// Length of leases granted now.
     lease: Micros,
-    /// The longest that ever was: one of that length may still be in force.
+    /// The longest lease length so far: a lease of that length may still be in force.
     longest_lease: Micros,
 }
 
@@ -126,12 +127,12 @@
         self.front_list_version
     }
 
-    /// Length of leases that are granted now.
+    /// Length of leases granted now.
     pub fn lease(&self) -> Micros {
         self.lease
     }
 
-    /// The longest lease that may still be in force.
+    /// Length of the longest lease that may still be in force.
     pub fn longest_lease(&self) -> Micros {
         self.longest_lease
     }
@@ -141,7 +142,7 @@
         &self.accounts
     }
 
-    /// The account of a front.
+    /// The account of a front, if there is one.
     pub fn account(&self, front: FrontId) -> Option<&FrontAccount> {
         self.accounts.get(&front)
     }
@@ -153,7 +154,7 @@
         account.holders.get(&holder.incarnation)
     }
 
-    /// All holders that are accounted for.
+    /// All holders that have joined and may still be spending.
     pub fn holders(&self) -> impl Iterator<Item = HolderEntry<'_>> {
         self.accounts.iter().flat_map(|(front, account)| {
             account.holders.iter().map(|(incarnation, state)| HolderEntry {
@@ -169,12 +170,12 @@
         self.committed_quotas.keys().copied()
     }
 
-    /// What quotas of a budget of this kind may take together.
+    /// What the quotas of a budget of this kind may sum to.
     pub fn available_to_quotas(&self, kind: BudgetKind) -> PartsPerMillion {
         TOTAL - self.reserved.get(&kind).copied().unwrap_or(0)
     }
 
-    /// What no quota of this budget is committed for.
+    /// What is left of the budget for further quotas.
     pub fn unallocated(&self, budget: BudgetId) -> PartsPerMillion {
         let committed = self.committed_quotas.get(&budget).copied().unwrap_or(0);
         self.available_to_quotas(budget.kind) - committed
@@ -188,7 +189,7 @@
     /// Applies a command of the log.
     ///
     /// # Errors
-    /// Why the command did nothing.
+    /// The reason why the command was rejected and changed nothing.
     pub fn apply(&mut self, command: &BudgetCommand) -> Result<(), CommandRejected> {
         let applied = match command {
             BudgetCommand::UpdateFronts { version, fronts, minimums, lease } => {
@@ -202,7 +203,7 @@
             BudgetCommand::RemoveFront { front } => self.remove_front(*front),
         };
         if applied.is_ok() {
-            self.rebalance_minimums();
+            self.adjust_minimums();
         }
         debug_assert_eq!(self.check_invariant(), Ok(()));
         applied
@@ -233,12 +234,12 @@
         for front in &listed {
             self.accounts.entry(*front).or_default();
         }
-        self.update_accounts(&listed);
+        self.apply_front_list(&listed);
         Ok(())
     }
 
-    /// Sets the minimums' targets by the list, and revokes the quotas of fronts that are not in it.
-    fn update_accounts(&mut self, listed: &BTreeSet<FrontId>) {
+    /// Sets the targets of the minimums according to the list, and revokes the quotas of fronts that are not in it.
+    fn apply_front_list(&mut self, listed: &BTreeSet<FrontId>) {
         let rules = self.minimum_rules.iter();
         let targets: BTreeMap<BudgetKind, BTreeMap<FrontId, PartsPerMillion>> =
             rules.map(|(kind, rule)| (*kind, divide_minimum(*kind, rule, listed))).collect();
@@ -247,7 +248,7 @@
             account.is_listed = listed.contains(front);
             for kind in BudgetKind::ALL {
                 let target = targets.get(&kind).and_then(|by_front| by_front.get(front)).copied();
-                account.retarget_minimum(kind, target.unwrap_or(0), epoch);
+                account.set_minimum_target(kind, target.unwrap_or(0), epoch);
             }
             if !account.is_listed {
                 account.holders.values_mut().for_each(|holder| holder.revoke_all(epoch));
@@ -290,7 +291,7 @@
         Ok(())
     }
 
-    /// Sets one quota, if its holder is current; it rises no further than there is room.
+    /// Sets one quota if its holder is current. The quota is raised only as far as the budget has unallocated room.
     fn allocate_one(&mut self, holder: HolderId, budget: BudgetId, target: PartsPerMillion) {
         let epoch = Epoch(self.epoch.0 + 1);
         let unallocated = self.unallocated(budget);
@@ -363,7 +364,7 @@
             return Err(CommandRejected::StaleEpoch);
         }
         let quotas = std::mem::take(&mut state.quotas);
-        // A response from before is older than whatever is granted from now on.
+        // With a new epoch, responses sent before the expiry are older than any later grant.
         state.epoch = next;
         if !is_current {
             account.holders.remove(&holder.incarnation);
@@ -401,8 +402,8 @@
         }
     }
 
-    /// Brings what is reserved, and the minimums, as near to the list as what is committed allows.
-    fn rebalance_minimums(&mut self) {
+    /// Moves the reserve and the minimums as close to the list's rules as the committed quotas and minimums allow.
+    fn adjust_minimums(&mut self) {
         for kind in BudgetKind::ALL {
             let reserved = self.reserve_minimums(kind);
             let available = reserved - self.committed_minimums(kind);
@@ -413,15 +414,15 @@
         self.accounts.retain(|_, a| a.is_listed || !a.holders.is_empty() || !a.minimums.is_empty());
     }
 
-    /// Reserves as much as the minimums of this kind come to: more would be of use to nobody.
+    /// Reserves no more than the sum of the minimums of this kind: nobody could use more.
     fn reserve_minimums(&mut self, kind: BudgetKind) -> PartsPerMillion {
         let targets = self.minimums(kind).map(|m| m.target).sum::<PartsPerMillion>();
         let set_aside = self.minimum_rules.get(&kind).map_or(0, |rule| rule.set_aside);
         let wanted = targets.min(set_aside);
         let committed = self.committed_minimums(kind);
         let quotas = self.committed_quotas.iter().filter(|(budget, _)| budget.kind == kind);
-        let most_quotas = quotas.map(|(_, committed)| *committed).max().unwrap_or(0);
-        let reserved = wanted.max(committed).min(TOTAL - most_quotas).max(committed);
+        let max_committed_quota = quotas.map(|(_, committed)| *committed).max().unwrap_or(0);
+        let reserved = wanted.max(committed).min(TOTAL - max_committed_quota).max(committed);
         if reserved == 0 {
             self.reserved.remove(&kind);
         } else {
@@ -430,7 +431,7 @@
         reserved
     }
 
-    /// Raises minimums that are below their targets, in the order of the fronts.
+    /// Raises minimums that are below their targets, in order of the front ids.
     fn raise_minimums(&mut self, kind: BudgetKind, mut available: PartsPerMillion) {
         if !self.minimums(kind).any(|m| m.target > m.committed) {
             return;
@@ -456,12 +457,12 @@
         self.minimums(kind).map(|m| m.committed).sum()
     }
 
-    /// Checks the invariant, with all sums computed anew from the accounts.
+    /// Checks the invariant, with all sums recomputed from the accounts.
     ///
     /// # Errors
-    /// The first violation that is found.
+    /// The first violation found.
     pub fn check_invariant(&self) -> Result<(), InvariantViolation> {
-        let sums = self.sum_quotas()?;
+        let sums = self.sum_committed_quotas()?;
         for (budget, sum) in &sums {
             let recorded = self.committed_quotas.get(budget).copied();
             if recorded.map(u64::from) != Some(*sum) {
@@ -483,7 +484,7 @@
         Ok(())
     }
 
-    fn sum_quotas(&self) -> Result<BTreeMap<BudgetId, u64>, InvariantViolation> {
+    fn sum_committed_quotas(&self) -> Result<BTreeMap<BudgetId, u64>, InvariantViolation> {
         let mut sums: BTreeMap<BudgetId, u64> = BTreeMap::new();
         for (budget, quota) in self.holders().flat_map(|holder| &holder.state.quotas) {
             if quota.target > quota.committed {
@@ -495,39 +496,39 @@
     }
 }
 
-/// What is wrong with a state; never the case, whatever commands were applied.
+/// A violated invariant of the state. No sequence of commands may cause one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvariantViolation {
-    /// A holder is told to use more than what is committed for it.
-    #[error("{budget:?}: a target above what is committed, {quota:?}")]
+    /// A holder's target exceeds what is committed for it.
+    #[error("{budget:?}: the target exceeds the committed quota: {quota:?}")]
     TargetAboveCommitted {
         /// The budget.
         budget: BudgetId,
         /// The quota.
         quota: Allocation,
     },
-    /// The recorded sum of a budget's quotas is not their sum.
-    #[error("{budget:?}: quotas sum to {sum}, {recorded:?} is recorded")]
+    /// The recorded sum of a budget's quotas is wrong.
+    #[error("{budget:?}: quotas sum to {sum}, but the recorded sum is {recorded:?}")]
     WrongSum {
         /// The budget.
         budget: BudgetId,
-        /// What the accounts give.
+        /// The sum computed from the accounts.
         sum: u64,
-        /// What the state has recorded.
+        /// The sum recorded in the state.
         recorded: Option<PartsPerMillion>,
     },
-    /// Minimums above what is reserved for them.
-    #[error("{kind:?}: minimums of {minimums} are above the {reserved} reserved")]
+    /// The minimums of a kind exceed the reserve.
+    #[error("{kind:?}: minimums sum to {minimums}, above the reserve of {reserved}")]
     MinimumsAboveReserve {
-        /// The kind.
+        /// The kind of budget.
         kind: BudgetKind,
         /// Sum of the committed minimums.
         minimums: u64,
         /// What is reserved.
         reserved: u64,
     },
-    /// Quotas and reserve above the total.
-    #[error("{budget:?}: quotas of {sum} and {reserved} reserved are above the total")]
+    /// The quotas and the reserve together exceed the total.
+    #[error("{budget:?}: quotas of {sum} and the reserve of {reserved} together exceed the total")]
     AboveTotal {
         /// The budget.
         budget: BudgetId,
@@ -538,8 +539,8 @@
     },
 }
 
-/// Even minimums, or, where one would be too small to be of use, whole units for as many fronts as there are; which fronts
-/// these are differs from kind to kind.
+/// Divides the minimum evenly, or, where the even share would be smaller than a useful unit, gives one unit each to as
+/// many fronts as there are units. Which fronts get a unit differs from kind to kind.
 fn divide_minimum(
     kind: BudgetKind,
     rule: &MinimumRule,
@@ -555,7 +556,7 @@
     order.into_iter().take(count).map(|front| (front, rule.unit)).collect()
 }
 
-/// An order of the fronts that is another one for each kind.
+/// Sort key that puts the fronts in a different order for each kind.
 fn shuffle_key(kind: BudgetKind, front: FrontId) -> u64 {
     const ODD_MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
     let multiplier = (kind as u64 + 1).wrapping_mul(ODD_MULTIPLIER);
--- a/core/budgets/tests/ledger.rs
+++ b/core/budgets/tests/ledger.rs
@@ -1,4 +1,5 @@
-//! The local quota ledger: leases at the moment of spending, buckets through every change, windows, concurrent units.
+//! Tests of the local quota ledger and the lease holder: lease checks at the moment of spending, buckets across changes
+//! of quota, sliding windows, and concurrency.
 
 use elmtide_budgets::ledger::ReservationOutcome;
 use elmtide_budgets::LeaseResponse;
@@ -11,17 +12,17 @@
 use proptest::prelude::*;
 
 const RETRIES: BudgetId = BudgetId { kind: BudgetKind::Retries, resource: 0 };
-const COLD: BudgetId = BudgetId { kind: BudgetKind::SlowStartCache, resource: 7 };
-const RUNNING: BudgetId = BudgetId { kind: BudgetKind::ShopConcurrency, resource: 3 };
-const LEASE: u64 = 1_000_000;
+const SLOW_START: BudgetId = BudgetId { kind: BudgetKind::SlowStartCache, resource: 7 };
+const CONCURRENCY: BudgetId = BudgetId { kind: BudgetKind::ShopConcurrency, resource: 3 };
+const LEASE_US: u64 = 1_000_000;
 
 fn settings() -> LeaseSettings {
     LeaseSettings {
-        duration: LEASE,
+        duration: LEASE_US,
         drift: 0.001,
         slack: 0,
         max_clock_divergence: 20_000,
-        max_request_deadline: LEASE,
+        max_request_deadline: LEASE_US,
     }
 }
 
@@ -32,135 +33,150 @@
 fn ledger() -> QuotaLedger {
     let mut ledger = QuotaLedger::new(settings());
     ledger.configure_budget(RETRIES, TotalLimit { rate: 100.0, burst: 10.0, window: 0 }, at(0));
-    ledger.configure_budget(COLD, TotalLimit { rate: 0.0, burst: 400.0, window: 300_000 }, at(0));
-    ledger.configure_budget(RUNNING, TotalLimit { rate: 0.0, burst: 10.0, window: 0 }, at(0));
+    ledger.configure_budget(SLOW_START, TotalLimit { rate: 0.0, burst: 400.0, window: 300_000 }, at(0));
+    ledger.configure_budget(CONCURRENCY, TotalLimit { rate: 0.0, burst: 10.0, window: 0 }, at(0));
     ledger
 }
 
-fn grant(epoch: u64, asked: u64, parts: u32) -> Grant {
-    let asked = at(asked);
-    let shares = [RETRIES, COLD, RUNNING].map(|budget| (budget, parts)).to_vec();
-    Grant { epoch: Epoch(epoch), requested_at: asked, expires_at: asked.monotonic + LEASE, quotas: shares }
+fn grant(epoch: u64, requested_us: u64, parts: u32) -> Grant {
+    let requested = at(requested_us);
+    let granted = [RETRIES, SLOW_START, CONCURRENCY].map(|budget| (budget, parts)).to_vec();
+    Grant {
+        epoch: Epoch(epoch),
+        requested_at: requested,
+        expires_at: requested.monotonic + LEASE_US,
+        quotas: granted,
+    }
 }
 
 #[test]
-fn a_share_begins_empty_fills_by_its_rate_and_is_over_with_its_lease() {
+fn new_quota_starts_empty_fills_at_its_rate_and_is_lost_when_its_lease_expires() {
     let mut ledger = ledger();
     ledger.apply_grant(grant(1, 0, TOTAL / 2), at(1000));
-    assert_eq!(ledger.try_acquire(RETRIES, 1.0, Priority::Low, at(2000)), None, "it begins empty");
+    assert_eq!(ledger.try_acquire(RETRIES, 1.0, Priority::Low, at(2000)), None, "a new quota starts empty");
     let spent =
         (0..200).filter(|_| ledger.try_acquire(RETRIES, 1.0, Priority::Low, at(500_000)).is_some()).count();
     assert_eq!(spent, 5, "half of a burst of ten");
     assert_eq!(ledger.try_acquire(RETRIES, 1.0, Priority::Low, at(521_000)), Some(PermitSource::Lease));
     assert_eq!(
-        ledger.try_acquire(RETRIES, 1.0, Priority::Low, at(LEASE)),
+        ledger.try_acquire(RETRIES, 1.0, Priority::Low, at(LEASE_US)),
         None,
-        "the lease is over at that moment"
+        "the lease has expired at exactly this moment"
     );
-    ledger.apply_grant(grant(2, LEASE, TOTAL / 2), at(LEASE + 10));
+    ledger.apply_grant(grant(2, LEASE_US, TOTAL / 2), at(LEASE_US + 10));
     assert_eq!(
-        ledger.try_acquire(RETRIES, 1.0, Priority::Low, at(LEASE + 10)),
+        ledger.try_acquire(RETRIES, 1.0, Priority::Low, at(LEASE_US + 10)),
         None,
-        "what was there is gone with the lease"
+        "the bucket was emptied when the lease expired"
     );
 }
 
-/// The lease counts from before the ask, however late the answer; and both clocks are looked at.
+/// The lease counts from before the request, however late the response arrives, and must be in force by both clocks:
+/// the monotonic clock may stop while the machine sleeps.
 #[test]
-fn late_answers_and_clocks_that_part_give_nothing() {
+fn late_responses_and_diverged_clocks_grant_nothing() {
     let mut late = ledger();
-    late.apply_grant(grant(1, 0, TOTAL), at(LEASE + 1));
-    assert_eq!(late.lease_expiry(at(LEASE + 1)), None);
-    let mut slept = ledger();
-    slept.apply_grant(grant(1, 0, TOTAL), at(1000));
-    let awake = Clocks { monotonic: at(200_000).monotonic, wall: at(200_000).wall + 21_000 };
-    assert!(slept.has_valid_lease(at(200_000)) && !slept.has_valid_lease(awake));
-    assert_eq!(slept.try_acquire(RETRIES, 1.0, Priority::Low, awake), None);
-    assert!(!slept.has_valid_lease(at(200_000)), "what lapsed does not come back by setting the clock");
+    late.apply_grant(grant(1, 0, TOTAL), at(LEASE_US + 1));
+    assert_eq!(late.lease_expiry(at(LEASE_US + 1)), None);
+    let mut suspended = ledger();
+    suspended.apply_grant(grant(1, 0, TOTAL), at(1000));
+    let after_suspend = Clocks { monotonic: at(200_000).monotonic, wall: at(200_000).wall + 21_000 };
+    assert!(suspended.has_valid_lease(at(200_000)) && !suspended.has_valid_lease(after_suspend));
+    assert_eq!(suspended.try_acquire(RETRIES, 1.0, Priority::Low, after_suspend), None);
+    assert!(
+        !suspended.has_valid_lease(at(200_000)),
+        "an expired lease is not restored by setting the clock back"
+    );
 }
 
 #[test]
-fn a_windows_part_rises_one_span_after_its_grant_and_falls_at_once() {
+fn sliding_window_quota_rises_one_window_after_its_grant_and_falls_immediately() {
     let mut ledger = ledger();
     ledger.apply_grant(grant(1, 0, TOTAL / 4), at(1000));
-    assert_eq!(ledger.window_fraction(COLD, at(200_000)), 0.0);
-    assert_eq!(ledger.window_fraction(COLD, at(301_000)), 0.25);
+    assert_eq!(ledger.window_fraction(SLOW_START, at(200_000)), 0.0);
+    assert_eq!(ledger.window_fraction(SLOW_START, at(301_000)), 0.25);
     ledger.apply_grant(grant(2, 310_000, TOTAL / 2), at(320_000));
-    assert_eq!(ledger.window_fraction(COLD, at(330_000)), 0.25);
-    // Told the same again, it does not wait anew.
+    assert_eq!(ledger.window_fraction(SLOW_START, at(330_000)), 0.25);
+    // A repeated grant of the same quota does not restart the wait.
     ledger.apply_grant(grant(2, 500_000, TOTAL / 2), at(510_000));
-    assert_eq!(ledger.window_fraction(COLD, at(621_000)), 0.5);
+    assert_eq!(ledger.window_fraction(SLOW_START, at(621_000)), 0.5);
     ledger.apply_grant(grant(3, 630_000, TOTAL / 10), at(640_000));
-    assert_eq!(ledger.window_fraction(COLD, at(640_000)), 0.1);
-    assert_eq!(ledger.window_fraction(COLD, at(630_000 + LEASE)), 0.0);
+    assert_eq!(ledger.window_fraction(SLOW_START, at(640_000)), 0.1);
+    assert_eq!(ledger.window_fraction(SLOW_START, at(630_000 + LEASE_US)), 0.0);
 }
 
-/// The holder does not say that it uses less while more runs than that.
+/// Guards against a holder that confirms a reduction while more units are running than the reduced quota allows.
 #[test]
-fn what_runs_is_given_back_with_its_end() {
+fn reduction_is_confirmable_only_once_enough_running_units_have_ended() {
     let mut ledger = ledger();
     ledger.apply_grant(grant(1, 0, TOTAL / 2), at(1000));
-    assert_eq!((0..9).filter(|_| ledger.begin_running(RUNNING, Priority::Low, at(2000))).count(), 5);
+    assert_eq!((0..9).filter(|_| ledger.begin_running(CONCURRENCY, Priority::Low, at(2000))).count(), 5);
     assert_eq!(ledger.confirmable_epoch(at(2000)), Some(Epoch(1)));
     ledger.apply_grant(grant(2, 3000, TOTAL / 5), at(4000));
     assert_eq!(ledger.confirmable_epoch(at(4000)), None);
-    assert!(!ledger.begin_running(RUNNING, Priority::Low, at(4000)));
-    (0..3).for_each(|_| ledger.end_running(RUNNING));
+    assert!(!ledger.begin_running(CONCURRENCY, Priority::Low, at(4000)));
+    (0..3).for_each(|_| ledger.end_running(CONCURRENCY));
     assert_eq!(ledger.confirmable_epoch(at(5000)), Some(Epoch(2)));
 }
 
 #[test]
-fn floors_need_no_lease_and_an_older_one_changes_nothing() {
+fn minimums_need_no_lease_and_minimums_of_an_older_epoch_are_ignored() {
     let mut ledger = ledger();
-    let floors = |epoch, parts| GuaranteedMinimums {
+    let minimums_at = |epoch, parts| GuaranteedMinimums {
         epoch: Epoch(epoch),
         minimums: vec![(BudgetKind::Retries, parts)],
     };
-    ledger.apply_minimums(floors(2, TOTAL / 5), at(0));
+    ledger.apply_minimums(minimums_at(2, TOTAL / 5), at(0));
     assert_eq!(
         ledger.try_acquire(RETRIES, 1.0, Priority::Low, at(5_000_000)),
         Some(PermitSource::GuaranteedMinimum)
     );
-    ledger.apply_minimums(floors(1, TOTAL), at(5_000_000));
+    ledger.apply_minimums(minimums_at(1, TOTAL), at(5_000_000));
     assert_eq!(ledger.available(RETRIES, at(9_000_000)), 2.0);
 }
 
-/// An answer counts for one ask of this run, once, and not if something newer was told.
+/// A response is accepted once, only for a request of this incarnation, and only if no newer epoch was granted before.
 #[test]
-fn answers_are_for_asks_of_this_run_in_their_order() {
+fn responses_are_accepted_once_for_requests_of_this_incarnation_and_not_after_a_newer_epoch() {
     let holder = HolderId { front: FrontId(1), incarnation: Incarnation(4) };
     let mut holder_side = LeaseHolder::new(holder, settings(), 100, Epoch(0));
-    let answer = |holder, ask, epoch| LeaseResponse {
+    let response = |holder, request_number, epoch| LeaseResponse {
         holder,
-        request_id: ask,
+        request_id: request_number,
         epoch: Epoch(epoch),
         quotas: vec![(RETRIES, 5)],
         minimums_epoch: Epoch(0),
         minimums: vec![],
-        duration: LEASE,
+        duration: LEASE_US,
         front_list_version: 1,
     };
     let first = holder_side.request(&[], at(0)).request_id;
     let second = holder_side.request(&[], at(100)).request_id;
-    let earlier_run = HolderId { incarnation: Incarnation(3), ..holder };
-    assert!(holder_side.on_response(&answer(earlier_run, first, 9), at(200)).grant.is_none());
-    assert!(holder_side.on_response(&answer(holder, 7, 9), at(200)).grant.is_none(), "nobody asked that");
-    assert!(holder_side.on_response(&answer(holder, second, 9), at(200)).grant.is_some());
-    assert!(holder_side.on_response(&answer(holder, second, 9), at(200)).grant.is_none(), "doubled");
+    let earlier_incarnation = HolderId { incarnation: Incarnation(3), ..holder };
+    assert!(holder_side.on_response(&response(earlier_incarnation, first, 9), at(200)).grant.is_none());
+    assert!(
+        holder_side.on_response(&response(holder, 7, 9), at(200)).grant.is_none(),
+        "no such request was sent"
+    );
+    assert!(holder_side.on_response(&response(holder, second, 9), at(200)).grant.is_some());
+    assert!(
+        holder_side.on_response(&response(holder, second, 9), at(200)).grant.is_none(),
+        "duplicate response"
+    );
     assert!(
-        holder_side.on_response(&answer(holder, first, 8), at(200)).grant.is_none(),
-        "older than what is held"
+        holder_side.on_response(&response(holder, first, 8), at(200)).grant.is_none(),
+        "older than the current grant"
     );
 }
 
 #[derive(Clone, Debug)]
 enum Step {
     Wait(u64),
-    /// Divides anew: each front is told its part, at once or not at all.
+    /// Divides the budget anew; every front receives its new quota at once.
     Divide(Vec<u32>),
     Take(usize),
     Reserve(usize),
-    /// The oldest reservation of a front turns out to be used, or not.
+    /// Resolves the oldest reservation of a front as used or unused.
     Resolve(usize, bool),
     Restart(usize),
 }
@@ -179,23 +195,24 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 1500, ..ProptestConfig::default() })]
 
-    /// Three fronts whose parts never sum to more than the whole: in no window is more spent than rate·t + burst, through every
-    /// change, lapse, restart and reservation.
+    /// Three fronts whose quotas never sum to more than the total. Guards against spending more than rate·t + burst in
+    /// any window across quota changes, expired leases, restarts and reservations.
     #[test]
-    fn no_window_holds_more_than_the_whole(steps in prop::collection::vec(step(), 1..200)) {
-        let whole = TotalLimit { rate: 100.0, burst: 10.0, window: 0 };
+    fn spending_in_any_window_never_exceeds_rate_and_burst(steps in prop::collection::vec(step(), 1..200)) {
+        let total = TotalLimit { rate: 100.0, burst: 10.0, window: 0 };
         let mut ledgers: Vec<QuotaLedger> = (0..3).map(|_| ledger()).collect();
         let mut reserved = vec![Vec::new(); 3];
         let (mut now, mut epoch, mut spent) = (0u64, 0u64, Vec::new());
         for step in steps {
             match step {
-                Step::Wait(span) => now += span,
-                Step::Divide(wishes) => {
+                Step::Wait(duration_us) => now += duration_us,
+                Step::Divide(weights) => {
                     epoch += 1;
-                    let sum: u64 = wishes.iter().map(|w| u64::from(*w)).sum::<u64>().max(1);
-                    for (ledger, wish) in ledgers.iter_mut().zip(&wishes) {
-                        let part = (u64::from(*wish) * u64::from(TOTAL) / sum.max(u64::from(TOTAL))) as u32;
-                        ledger.apply_grant(grant(epoch, now, part), at(now));
+                    let weight_sum: u64 = weights.iter().map(|w| u64::from(*w)).sum::<u64>().max(1);
+                    for (ledger, weight) in ledgers.iter_mut().zip(&weights) {
+                        let quota = (u64::from(*weight) * u64::from(TOTAL)
+                            / weight_sum.max(u64::from(TOTAL))) as u32;
+                        ledger.apply_grant(grant(epoch, now, quota), at(now));
                     }
                 }
                 Step::Take(front) => {
@@ -204,32 +221,33 @@
                     }
                 }
                 Step::Reserve(front) => {
-                    if let Some(taken) = ledgers[front].reserve(RETRIES, Priority::Low, at(now)) {
-                        reserved[front].push((now, taken));
+                    if let Some(reservation) = ledgers[front].reserve(RETRIES, Priority::Low, at(now)) {
+                        reserved[front].push((now, reservation));
                     }
                 }
                 Step::Resolve(front, used) => {
                     if !reserved[front].is_empty() {
-                        let (since, taken) = reserved[front].remove(0);
-                        let outcome = if used { ReservationOutcome::Used } else { ReservationOutcome::Unused };
-                        ledgers[front].resolve(RETRIES, taken, outcome, at(now));
+                        let (taken_at, reservation) = reserved[front].remove(0);
+                        let outcome =
+                            if used { ReservationOutcome::Used } else { ReservationOutcome::Unused };
+                        ledgers[front].resolve(RETRIES, reservation, outcome, at(now));
                         if used {
-                            spent.push(since);
+                            spent.push(taken_at);
                         }
                     }
                 }
                 Step::Restart(front) => {
                     ledgers[front] = ledger();
-                    // What was reserved may have been used.
-                    spent.extend(reserved[front].drain(..).map(|(since, _)| since));
+                    // A unit reserved before the restart may have been used.
+                    spent.extend(reserved[front].drain(..).map(|(taken_at, _)| taken_at));
                 }
             }
         }
         spent.sort_unstable();
         for (i, from) in spent.iter().enumerate() {
             for (count, to) in spent[i..].iter().enumerate() {
-                let may = whole.rate * (to - from) as f64 / 1e6 + whole.burst;
-                prop_assert!((count + 1) as f64 <= may + 1e-6, "{} from {} to {}", count + 1, from, to);
+                let allowed = total.rate * (to - from) as f64 / 1e6 + total.burst;
+                prop_assert!((count + 1) as f64 <= allowed + 1e-6, "{} from {} to {}", count + 1, from, to);
             }
         }
     }
