--- a/core/sites/src/command.rs
+++ b/core/sites/src/command.rs
@@ -1,46 +1,46 @@
-//! Commands of the replicated log that change which sites are lost.
+//! Commands of the replicated log that change the state of sites.
 
 use serde::{Deserialize, Serialize};
 
 use crate::opinion::SiteOpinion;
 use crate::site::{RecoveryPhase, SiteId};
 
-/// Most sites.
+/// Maximum number of sites.
 pub const MAX_SITES: usize = 256;
 
-/// One command.
+/// A command of the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SiteCommand {
-    /// Replaces the sites and their patience; a version that is not higher changes nothing.
+    /// Replaces the set of sites and their patience. Rejected unless the version is higher than the current one.
     UpdateSites {
-        /// Of the configuration.
+        /// Version of the configuration.
         version: u64,
         /// Number of sites.
         sites: u16,
-        /// For how long opinions have to be held before a loss, in milliseconds.
+        /// How long opinions must be held before a site is declared lost, in milliseconds.
         patience_ms: u64,
-        /// The longest that this can become by failed recoveries.
+        /// Upper limit of the patience, which grows with each failed recovery.
         max_patience_ms: u64,
     },
-    /// The opinions of a site from now on, by most of its fronts; a healthy site is not named.
+    /// Replaces the opinions of a site, as held by most of its fronts. Sites considered healthy are omitted.
     ReportOpinions {
-        /// Whose opinions.
+        /// The site that holds the opinions.
         by: SiteId,
-        /// Of which sites.
+        /// The other sites, with the opinion of each.
         opinions: Vec<(SiteId, SiteOpinion)>,
         /// The leader's Unix clock, in milliseconds.
         at_ms: u64,
     },
-    /// Declares a site lost by the opinions of the others.
+    /// Declares a site lost because of the opinions of the other sites.
     DeclareLost {
         /// The site.
         site: SiteId,
-        /// Its revision when that was decided.
+        /// The site's revision at the time of the decision.
         revision: u64,
         /// The leader's Unix clock, in milliseconds.
         at_ms: u64,
     },
-    /// An operator declares a site lost, or lets it recover.
+    /// An operator declares a site lost, or permits it to recover.
     OverrideByOperator {
         /// The site.
         site: SiteId,
@@ -53,7 +53,7 @@
     AdvanceRecovery {
         /// The site.
         site: SiteId,
-        /// Its revision when that was decided.
+        /// The site's revision at the time of the decision.
         revision: u64,
         /// The next phase.
         to: RecoveryPhase,
@@ -62,36 +62,36 @@
     },
 }
 
-/// Why a command did nothing.
+/// Why a command had no effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 pub enum CommandRejected {
-    /// The sites in force are as new.
-    #[error("the sites in force are as new")]
+    /// The current configuration of sites has the same version or a newer one.
+    #[error("the current site configuration has the same version or a newer one")]
     StaleVersion,
-    /// More sites than are accounted for.
-    #[error("more sites than are accounted for")]
+    /// The command exceeds [`MAX_SITES`].
+    #[error("too many sites in one command")]
     LimitExceeded,
     /// The site is not configured.
     #[error("there is no site {}", .0 .0)]
     UnknownSite(SiteId),
-    /// Something has changed since the command was decided.
-    #[error("something has changed since")]
+    /// The site has changed since the command was decided.
+    #[error("the site has changed since the command was decided")]
     StaleRevision,
-    /// Too few sites are of the opinion that this one is lost.
-    #[error("{present} sites are of that opinion, {needed} are needed")]
+    /// Too few sites consider this one lost.
+    #[error("{present} sites consider this one lost, {needed} are needed")]
     TooFewOpinions {
-        /// Sites of that opinion.
+        /// Number of sites with that opinion.
         present: u16,
-        /// Sites that are needed.
+        /// Number of sites needed.
         needed: u16,
     },
-    /// The opinions have not been held for long enough; the milliseconds that are missing.
-    #[error("the opinions have to be held for another {0} ms")]
+    /// The opinions have not been held for the site's patience; contains the remaining milliseconds.
+    #[error("the opinions must be held for another {0} ms")]
     PatienceNotElapsed(u64),
-    /// Only an operator lets a site recover that an operator declared lost.
+    /// A site that was declared lost by an operator recovers only after an operator permits it.
     #[error("an operator has declared the site lost")]
     DeclaredByOperator,
-    /// A recovery does not skip a phase.
-    #[error("this is not the next phase")]
+    /// A recovery cannot skip a phase.
+    #[error("this is not the next phase of the recovery")]
     NotNextPhase,
 }
--- a/core/sites/src/coordinator.rs
+++ b/core/sites/src/coordinator.rs
@@ -1,8 +1,10 @@
-//! What the leader proposes for sites: from what fronts report with their lease requests, and by its own clock from its own
-//! election on. All of it is volatile; a new leader hears it again.
+//! The leader's proposals on sites, based on the reports that fronts send with their lease requests and on the leader's
+//! own clock. All of this state is volatile: it starts empty with each election, and a new leader receives the reports
+//! again.
 //!
-//! A site's opinion is what most of its fronts say that are heard; a site of which none is heard has no opinion any more. So one
-//! front, or one site with a broken link, has one opinion of many.
+//! A site's opinion is that of the majority of its fronts with recent reports. A site without recent reports has no
+//! opinion. Thus a single front cannot decide its site's opinion, and a site with a broken link contributes only one
+//! opinion among many.
 
 use std::collections::BTreeMap;
 
@@ -14,31 +16,31 @@
 use crate::site::{RecoveryPhase, SiteId};
 use crate::state::{SiteEntry, SiteState};
 
-/// Most fronts that are remembered.
+/// Maximum number of fronts whose reports are kept.
 const MAX_FRONTS: usize = 4096;
 
-/// What the configuration says of sites.
+/// The configuration of sites and their failover.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FailoverSettings {
     /// Number of sites.
     pub sites: u16,
-    /// For how long opinions have to be held before a loss, in milliseconds.
+    /// How long opinions must be held before a site is declared lost, in milliseconds.
     pub patience_ms: u64,
-    /// The longest that this can become by failed recoveries.
+    /// Upper limit of the patience, which grows with each failed recovery, in milliseconds.
     pub max_patience_ms: u64,
-    /// How long each phase of a recovery takes at the least, in milliseconds.
+    /// Minimum duration of each phase of a recovery, in milliseconds.
     pub min_phase_ms: u64,
-    /// Where each front is.
+    /// The site of each front.
     pub site_of_front: BTreeMap<FrontId, SiteId>,
 }
 
-/// The moment.
+/// The leader's clocks and the lease length, as inputs of a decision.
 pub struct CoordinatorInput {
     /// The leader's monotonic clock.
     pub monotonic: Micros,
     /// The leader's Unix clock, in milliseconds.
     pub wall_ms: u64,
-    /// Length of a lease.
+    /// The length of a lease.
     pub lease: Micros,
 }
 
@@ -49,14 +51,14 @@
     report: SiteReport,
 }
 
-/// The leader's side, new with each election.
+/// The leader's record of reports, created anew with each election.
 #[derive(Clone, Debug, Default)]
 pub struct FailoverCoordinator {
     reports: BTreeMap<FrontId, ReceivedReport>,
 }
 
 impl FailoverCoordinator {
-    /// Takes what a front reports.
+    /// Records the report of a front, unless a newer incarnation of the front has reported.
     pub fn on_report(&mut self, holder: HolderId, mut report: SiteReport, now: Micros) {
         report.opinions.truncate(MAX_SITES);
         let known = self.reports.get(&holder.front);
@@ -66,7 +68,8 @@
         }
     }
 
-    /// What goes with a response to a front that reports on sites.
+    /// The view to send with a response to a front; `None` if the front does not report on sites or none are
+    /// configured.
     pub fn view(&self, state: &SiteState, front: FrontId) -> Option<SiteView> {
         self.reports.get(&front)?;
         let entry = |entry: &SiteEntry| SiteViewEntry {
@@ -81,7 +84,7 @@
         })
     }
 
-    /// Holders that decide by an older view.
+    /// Lease holders that still use an older view.
     pub fn holders_behind<'a>(&'a self, state: &'a SiteState) -> impl Iterator<Item = HolderId> + 'a {
         let revision = state.revision();
         let is_behind = move |received: &&ReceivedReport| {
@@ -90,23 +93,23 @@
         self.reports.values().filter(is_behind).map(|received| received.holder)
     }
 
-    /// Recent reports of the fronts of a site.
+    /// The reports of a site's fronts that are no older than a lease.
     fn recent_reports<'a>(
         &'a self,
         settings: &FailoverSettings,
         input: &CoordinatorInput,
         site: SiteId,
     ) -> Vec<&'a SiteReport> {
-        let is_of_site = |front: &FrontId| settings.site_of_front.get(front) == Some(&site);
+        let is_at_site = |front: &FrontId| settings.site_of_front.get(front) == Some(&site);
         let is_recent = |at: Micros| input.monotonic.saturating_sub(at) <= input.lease;
         let reports = self.reports.iter();
         reports
-            .filter(|(front, received)| is_of_site(front) && is_recent(received.received_at))
+            .filter(|(front, received)| is_at_site(front) && is_recent(received.received_at))
             .map(|(_, received)| &received.report)
             .collect()
     }
 
-    /// What is to be proposed now: opinions that have changed, losses, recoveries that advance.
+    /// The commands to propose now: changed opinions, losses, and recoveries that advance.
     pub fn propose(
         &self,
         state: &SiteState,
@@ -137,9 +140,9 @@
         } else {
             others().map(|of| (of, opinion_of_site(&reports, of))).filter(unhealthy).collect()
         };
-        let before: Vec<(SiteId, SiteOpinion)> =
+        let previous: Vec<(SiteId, SiteOpinion)> =
             others().map(|of| (of, state.opinion(by, of))).filter(unhealthy).collect();
-        let has_changed = opinions != before;
+        let has_changed = opinions != previous;
         has_changed.then_some(SiteCommand::ReportOpinions { by, opinions, at_ms: input.wall_ms })
     }
 
@@ -154,7 +157,7 @@
         for (site, entry) in state.sites() {
             let is_recovering = entry.phase != RecoveryPhase::Serving && !entry.by_operator;
             let is_due = at_ms.saturating_sub(entry.since_ms) >= settings.min_phase_ms;
-            if !is_recovering || !is_due || !self.may_advance(state, settings, input, *site) {
+            if !is_recovering || !is_due || !self.can_advance(state, settings, input, *site) {
                 continue;
             }
             if let Some(to) = entry.phase.next() {
@@ -165,8 +168,8 @@
         commands
     }
 
-    /// Whether what the next phase of a site's recovery rests on is there.
-    fn may_advance(
+    /// Whether the preconditions for the next phase of a site's recovery hold.
+    fn can_advance(
         &self,
         state: &SiteState,
         settings: &FailoverSettings,
@@ -176,21 +179,23 @@
         let Some(entry) = state.sites().get(&site) else { return false };
         let fronts = settings.site_of_front.values().filter(|of| **of == site).count();
         let reports = self.recent_reports(settings, input, site);
-        // A hub has no fronts: it is heard again when no site is of the opinion that it is not.
-        let is_heard = fronts == 0 || reports.len() * 2 > fronts;
-        let is_silent_to_some =
+        // A hub has no fronts: it counts as reachable again when no site considers it lost.
+        let is_reachable = fronts == 0 || reports.len() * 2 > fronts;
+        let is_considered_lost =
             state.sites().keys().any(|by| *by != site && state.opinion(*by, site).indicates_loss());
-        if !is_heard || is_silent_to_some {
+        if !is_reachable || is_considered_lost {
             return false;
         }
-        let have_view = reports.iter().all(|r| r.view_revision == Some(state.revision()));
+        let has_current_view = reports.iter().all(|r| r.view_revision == Some(state.revision()));
         match entry.phase {
             RecoveryPhase::Lost => true,
-            RecoveryPhase::InContact => have_view && reports.iter().all(|r| r.has_caught_up),
-            RecoveryPhase::CaughtUp => have_view && reports.iter().all(|r| r.has_caught_up && r.caches_warm),
-            // An overload elsewhere is no reason to keep clients from home.
+            RecoveryPhase::InContact => has_current_view && reports.iter().all(|r| r.has_caught_up),
+            RecoveryPhase::CaughtUp => {
+                has_current_view && reports.iter().all(|r| r.has_caught_up && r.caches_warm)
+            }
+            // Only overload of the site itself holds back its clients' return; overload elsewhere does not.
             RecoveryPhase::WarmedUp | RecoveryPhase::QuarterTraffic | RecoveryPhase::HalfTraffic => {
-                have_view && reports.iter().all(|r| !r.is_overloaded)
+                has_current_view && reports.iter().all(|r| !r.is_overloaded)
             }
             RecoveryPhase::Serving => false,
         }
@@ -199,8 +204,8 @@
 
 fn opinion_of_site(reports: &[&SiteReport], of: SiteId) -> SiteOpinion {
     let opinion = |report: &&SiteReport| {
-        let named = report.opinions.iter().find(|(site, _)| *site == of);
-        named.map_or(SiteOpinion::HEALTHY, |(_, opinion)| *opinion)
+        let reported = report.opinions.iter().find(|(site, _)| *site == of);
+        reported.map_or(SiteOpinion::HEALTHY, |(_, opinion)| *opinion)
     };
     majority_opinion(&reports.iter().map(opinion).collect::<Vec<_>>())
 }
--- a/core/sites/src/health_monitor.rs
+++ b/core/sites/src/health_monitor.rs
@@ -1,5 +1,5 @@
-//! Site health monitor: whether one front hears the fronts and the cache nodes of other sites, by its own clock. This is a hint:
-//! nothing is decided by one front's opinion.
+//! Site health monitor: whether one front can reach the fronts and cache nodes of other sites, by its own clock. The
+//! result is only a hint: no decision is based on the opinion of a single front.
 
 use std::collections::BTreeMap;
 
@@ -8,10 +8,10 @@
 use crate::opinion::{Reachability, SiteOpinion};
 use crate::site::SiteId;
 
-/// Most machines of one kind that are remembered of a site.
+/// Maximum number of tracked machines of one kind per site.
 const MAX_MACHINES: usize = 256;
 
-/// Whether an answer came in time.
+/// Whether an answer arrived in time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Timeliness {
     /// In time.
@@ -26,7 +26,7 @@
     timeliness: Timeliness,
 }
 
-/// Last answers of the machines of one kind.
+/// The last answer of each machine of one kind, by machine.
 type LastAnswers = BTreeMap<u64, LastAnswer>;
 
 #[derive(Clone, Debug, Default)]
@@ -35,38 +35,38 @@
     caches: LastAnswers,
 }
 
-/// What one front hears of other sites.
+/// One front's observations of other sites.
 #[derive(Clone, Debug)]
 pub struct SiteHealthMonitor {
-    /// A machine that was not heard for so long does not answer.
+    /// A machine counts as unreachable if it has not answered for this long.
     timeout: Micros,
     started_at: Micros,
     sites: BTreeMap<SiteId, SiteAnswers>,
 }
 
 impl SiteHealthMonitor {
-    /// A monitor of these sites that has heard nothing yet.
+    /// Creates a monitor of these sites without any observations.
     pub fn new(timeout: Micros, sites: impl IntoIterator<Item = SiteId>, now: Micros) -> SiteHealthMonitor {
         let sites = sites.into_iter().map(|site| (site, SiteAnswers::default())).collect();
         SiteHealthMonitor { timeout, started_at: now, sites }
     }
 
-    /// A front of a site was heard.
+    /// Records a message from a front of a site.
     pub fn on_front_heard(&mut self, site: SiteId, front: u64, now: Micros) {
         if let Some(answers) = self.sites.get_mut(&site) {
             let answer = LastAnswer { at: now, timeliness: Timeliness::InTime };
-            remember(&mut answers.fronts, front, answer);
+            record_answer(&mut answers.fronts, front, answer);
         }
     }
 
-    /// A cache node of a site has answered.
+    /// Records an answer of a cache node of a site.
     pub fn on_cache_answered(&mut self, site: SiteId, cache: u64, timeliness: Timeliness, now: Micros) {
         if let Some(answers) = self.sites.get_mut(&site) {
-            remember(&mut answers.caches, cache, LastAnswer { at: now, timeliness });
+            record_answer(&mut answers.caches, cache, LastAnswer { at: now, timeliness });
         }
     }
 
-    /// The opinion of a site now; healthy until a whole timeout could have passed.
+    /// The current opinion on a site. It is healthy until the monitor has run for a whole timeout.
     pub fn opinion(&self, site: SiteId, now: Micros) -> SiteOpinion {
         let Some(answers) = self.sites.get(&site) else { return SiteOpinion::HEALTHY };
         if now.saturating_sub(self.started_at) < self.timeout {
@@ -91,14 +91,14 @@
         Reachability::Reachable
     }
 
-    /// The opinions of all sites that are not healthy.
+    /// The current opinions on all sites that are not healthy.
     pub fn opinions(&self, now: Micros) -> Vec<(SiteId, SiteOpinion)> {
         let all = self.sites.keys().map(|site| (*site, self.opinion(*site, now)));
         all.filter(|(_, opinion)| *opinion != SiteOpinion::HEALTHY).collect()
     }
 }
 
-fn remember(answers: &mut LastAnswers, machine: u64, answer: LastAnswer) {
+fn record_answer(answers: &mut LastAnswers, machine: u64, answer: LastAnswer) {
     if answers.len() < MAX_MACHINES || answers.contains_key(&machine) {
         answers.insert(machine, answer);
     }
--- a/core/sites/src/held_view.rs
+++ b/core/sites/src/held_view.rs
@@ -1,4 +1,4 @@
-//! The front's side of a view: the newest one that it was told, and the longest lease on it.
+//! The view that a front holds: the newest one that it has received, with the longest lease on it.
 
 use elmtide_budgets::{Clocks, LeaseSettings, Micros};
 
@@ -10,43 +10,43 @@
     expires_at: Micros,
 }
 
-/// The view that a front decides by.
+/// The view of sites that a front bases its decisions on.
 #[derive(Clone, Debug, Default)]
 pub struct HeldSiteView {
     view: Option<SiteView>,
     lease: Option<ViewLease>,
 }
 
-/// Whether a view was taken.
+/// The result of [`HeldSiteView::apply`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ViewUpdate {
-    /// It is held from now on.
-    Taken,
-    /// It is older than what is held.
+    /// The view replaced the held one.
+    Applied,
+    /// The view is older than the held one and was ignored.
     Stale,
 }
 
 impl HeldSiteView {
-    /// The newest view; `None` before there is one.
+    /// The newest view; `None` before the first has been received.
     pub fn view(&self) -> Option<&SiteView> {
         self.view.as_ref()
     }
 
-    /// Takes a view that is no older than what is held.
+    /// Replaces the held view, unless the new one is older.
     pub fn apply(&mut self, leased: LeasedSiteView) -> ViewUpdate {
         let LeasedSiteView { view, requested_at, expires_at } = leased;
         if self.view.as_ref().is_some_and(|held| view.revision < held.revision) {
             return ViewUpdate::Stale;
         }
         self.view = Some(view);
-        let before = self.lease.map(|lease| lease.requested_at.monotonic);
-        if before.is_none_or(|before| requested_at.monotonic >= before) {
+        let previous = self.lease.map(|lease| lease.requested_at.monotonic);
+        if previous.is_none_or(|previous| requested_at.monotonic >= previous) {
             self.lease = Some(ViewLease { requested_at, expires_at });
         }
-        ViewUpdate::Taken
+        ViewUpdate::Applied
     }
 
-    /// Whether the lease on the view is in force, by both clocks.
+    /// Whether the lease on the view is valid according to both clocks.
     pub fn has_valid_lease(&self, settings: &LeaseSettings, now: Clocks) -> bool {
         self.lease.is_some_and(|lease| settings.is_in_force(lease.requested_at, lease.expires_at, now))
     }
--- a/core/sites/src/lib.rs
+++ b/core/sites/src/lib.rs
@@ -1,18 +1,22 @@
-//! Failover of whole sites: which sites are lost, where the clients of a lost one go and what is shed first, and how its return is
-//! paced.
+//! Failover of whole sites: which sites are lost, where a lost site's clients are sent, which requests are rejected
+//! first, and how a site's recovery is paced.
 //!
-//! **Invariant: a site is lost only by the replicated log: by the opinions of a majority of the other sites, held for its patience, or
-//! by an operator; and a key has one owner at a time, by leases and by waiting until an earlier owner's must have expired.** It
-//! rests on a majority of the voters and on clocks that run at one rate for the length of a lease. It does not rest on what one
-//! front hears, on timers that fire, or on synchronized clocks.
+//! **Invariants:**
+//! - A site becomes lost only through the replicated log: by the opinions of a majority of the other sites, held for
+//!   the site's patience (the time that opinions must persist), or by an operator.
+//! - A key has at most one owner at a time: owners hold leases, and a new owner waits until any earlier owner's lease
+//!   must have expired.
+//!
+//! They depend on a majority of the voters, and on clocks that run at the same rate for the length of a lease. They do
+//! not depend on what a single front observes, on timers firing on time, or on synchronized clocks.
 //!
 //! - [`site`], [`opinion`], [`report`]: the types;
-//! - [`health_monitor`]: what one front hears of other sites;
+//! - [`health_monitor`]: how one front observes other sites;
 //! - [`command`], [`state`]: the replicated state and the commands that change it;
-//! - [`coordinator`]: what the leader proposes, from what fronts report;
-//! - [`held_view`], [`ownership`]: what a front decides by: its view with the lease on it, and who owns a key;
-//! - [`failover_plan`]: where clients go for each loss, by a linear program made before;
-//! - [`routing`]: where one client goes by that, and who is rejected.
+//! - [`coordinator`]: what the leader proposes, based on the reports of fronts;
+//! - [`held_view`], [`ownership`]: a front's leased view of the sites, and the owner of each key;
+//! - [`failover_plan`]: where clients go for each loss, precomputed by a linear program;
+//! - [`routing`]: applies a plan to one client: its destination, and whether its request is rejected.
 
 #![warn(clippy::needless_pass_by_value, clippy::too_many_lines, clippy::fn_params_excessive_bools)]
 
--- a/core/sites/src/opinion.rs
+++ b/core/sites/src/opinion.rs
@@ -1,40 +1,41 @@
-//! What one front, or one site, says of another site.
+//! Opinions of one front, or one site, on the health of another site.
 
 use serde::{Deserialize, Serialize};
 
-/// How well one kind of machines of a site is heard.
+/// How well the machines of one kind at a site can be reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Reachability {
     /// All of them answer in time.
     Reachable,
-    /// Some answer, late or not all: planned for as load, not as a loss.
+    /// Some answer, but not all of them or not in time. This is treated as overload, not as a loss.
     Degraded,
     /// None answers.
     Unreachable,
 }
 
-/// An opinion of a site.
+/// An opinion on the health of a site.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct SiteOpinion {
-    /// Of its fronts.
+    /// Reachability of its fronts.
     pub fronts: Reachability,
-    /// Of its cache nodes.
+    /// Reachability of its cache nodes.
     pub caches: Reachability,
 }
 
 impl SiteOpinion {
-    /// Everything is heard.
+    /// All machines are reachable.
     pub const HEALTHY: SiteOpinion =
         SiteOpinion { fronts: Reachability::Reachable, caches: Reachability::Reachable };
 
-    /// Only a site of which nothing at all is heard can be lost: its fronts alone may be cut off from the others, and its cache
-    /// nodes alone are its own fronts' matter.
+    /// Whether the site may be lost: neither its fronts nor its cache nodes are reachable. If only its fronts are
+    /// unreachable, they may be cut off from other fronts and still serve clients. If only its cache nodes are, its own
+    /// fronts handle that.
     pub fn indicates_loss(&self) -> bool {
         self.fronts == Reachability::Unreachable && self.caches == Reachability::Unreachable
     }
 }
 
-/// One opinion of a site from those of its fronts: what most of them say, and the better one in doubt.
+/// Combines the opinions of a site's fronts into one: the opinion of the majority, and in a tie the healthier one.
 pub fn majority_opinion(opinions: &[SiteOpinion]) -> SiteOpinion {
     SiteOpinion {
         fronts: lower_median(opinions.iter().map(|opinion| opinion.fronts).collect()),
--- a/core/sites/src/ownership.rs
+++ b/core/sites/src/ownership.rs
@@ -1,72 +1,74 @@
-//! Who owns a key: which front runs the signups of an idempotency key while sites are lost and return.
+//! Ownership of idempotency keys: which front runs the signups of a key while sites are lost and recover.
 //!
-//! **Invariant: a front takes a signup of a key that it owns only while its lease on a view is in force, by the clocks of that
-//! moment; and one whose owner's site is lost only after every lease that the owner could have had must have expired, and a key's
-//! lifetime besides.** Fronts are named by `F`, whatever identifies them; which front owns a key among those of sites that are
-//! not lost is a function of the caller's.
+//! **Invariant: a front accepts a signup for a key that it owns only while its lease on a view is valid, by its clocks
+//! at that moment. It takes over a key from a front of a lost site only after every lease that this front could have
+//! held must have expired, plus the lifetime of a key.** `F` is the type that identifies a front. The caller provides
+//! the function that maps a key to its owner among the fronts of sites that are not lost.
 
 use std::collections::BTreeSet;
 
-/// Milliseconds of a Unix clock.
+/// A moment, in milliseconds of a Unix clock.
 pub type UnixMs = f64;
 
-/// Most sets of excluded fronts that are remembered while keys change hands.
-const MAX_FORMER: usize = 16;
+/// Maximum number of previous exclusions that are kept while keys change owners.
+const MAX_PREVIOUS_EXCLUSIONS: usize = 16;
 
-/// Who runs a request of a key.
+/// The front that may run a request of a key.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum KeyOwner<F> {
     /// This front.
     Own,
-    /// Another one.
+    /// Another front.
     Other(F),
-    /// Nobody may take it before this moment.
+    /// No front may accept the request before this moment.
     NobodyUntil(UnixMs),
 }
 
-/// Fronts that owned no key before, and until when an owner by that may still be running a request.
+/// A previous set of fronts that owned no key, with the time until which an owner under that set may still run a
+/// request.
 #[derive(Clone, Debug, PartialEq)]
-struct FormerExclusion<F> {
-    /// `None` if every front may have been an owner of every key.
+struct PreviousExclusion<F> {
+    /// `None` if any front may have owned any key.
     excluded: Option<BTreeSet<F>>,
     until: UnixMs,
 }
 
-/// The fronts that own no key now, and those that owned none before.
+/// The fronts that currently own no key, and the previous sets of such fronts.
 #[derive(Clone, Debug)]
 pub struct OwnershipHistory<F> {
     excluded: BTreeSet<F>,
-    former: Vec<FormerExclusion<F>>,
+    previous: Vec<PreviousExclusion<F>>,
 }
 
 impl<F> Default for OwnershipHistory<F> {
     fn default() -> Self {
-        OwnershipHistory { excluded: BTreeSet::new(), former: Vec::new() }
+        OwnershipHistory { excluded: BTreeSet::new(), previous: Vec::new() }
     }
 }
 
 impl<F: Ord + Clone> OwnershipHistory<F> {
-    /// Fronts of sites that are lost: they own no key.
+    /// The fronts of lost sites, which own no key.
     pub fn excluded(&self) -> &BTreeSet<F> {
         &self.excluded
     }
 
-    /// The first view of a run. Unless no site has ever changed, nothing is known of who owned which key before.
-    pub fn begin(&mut self, excluded: BTreeSet<F>, is_untouched: bool, now: UnixMs, until: UnixMs) {
-        self.forget_expired(now);
-        if !is_untouched {
-            self.remember(FormerExclusion { excluded: None, until });
+    /// Sets the excluded fronts from the first view after a start. `is_initial` tells that no site has ever changed.
+    /// Otherwise the previous owners of keys are unknown, and this front owns no key until `until`.
+    pub fn set_initial(&mut self, excluded: BTreeSet<F>, is_initial: bool, now: UnixMs, until: UnixMs) {
+        self.remove_expired(now);
+        if !is_initial {
+            self.add_previous(PreviousExclusion { excluded: None, until });
         }
         self.excluded = excluded;
     }
 
-    /// Other fronts own no key from now on. An owner by an earlier view may be taking a request until its lease must have
-    /// expired, and running it for as long as a key lives: until `until`.
+    /// Replaces the excluded fronts. An owner under an earlier view may accept a request until its lease must have
+    /// expired, and run it for the lifetime of a key; both have passed at `until`.
     ///
-    /// `uncertain` are the fronts of sites of which `own` may have missed changes since the view before: each of them may have
-    /// been excluded meanwhile, or not. If `own` is one of them, any other front may have owned any key; else only those could
-    /// come before it that were not excluded.
-    pub fn change(
+    /// `uncertain` are the fronts of sites with changes that `own` may have missed since the previous view: each of
+    /// them may or may not have been excluded in between. If `own` is one of them, any other front may have owned any
+    /// key. Otherwise only fronts that were not excluded can have owned a key instead of `own`.
+    pub fn update(
         &mut self,
         own: &F,
         excluded: BTreeSet<F>,
@@ -74,40 +76,42 @@
         now: UnixMs,
         until: UnixMs,
     ) {
-        self.forget_expired(now);
-        let before = std::mem::replace(&mut self.excluded, excluded);
+        self.remove_expired(now);
+        let replaced = std::mem::replace(&mut self.excluded, excluded);
         if uncertain.contains(own) {
-            self.remember(FormerExclusion { excluded: None, until });
+            self.add_previous(PreviousExclusion { excluded: None, until });
             return;
         }
-        let least: BTreeSet<F> = before.difference(uncertain).cloned().collect();
-        let formers = if least == before { vec![before] } else { vec![before, least] };
-        for former in formers.into_iter().filter(|former| *former != self.excluded).collect::<Vec<_>>() {
-            self.remember(FormerExclusion { excluded: Some(former), until });
+        let smallest: BTreeSet<F> = replaced.difference(uncertain).cloned().collect();
+        let candidates = if smallest == replaced { vec![replaced] } else { vec![replaced, smallest] };
+        for set in candidates.into_iter().filter(|set| *set != self.excluded).collect::<Vec<_>>() {
+            self.add_previous(PreviousExclusion { excluded: Some(set), until });
         }
     }
 
-    fn forget_expired(&mut self, now: UnixMs) {
-        self.former.retain(|former| former.until > now);
+    fn remove_expired(&mut self, now: UnixMs) {
+        self.previous.retain(|exclusion| exclusion.until > now);
     }
 
-    fn remember(&mut self, former: FormerExclusion<F>) {
-        self.former.push(former);
-        while self.former.len() > MAX_FORMER {
-            // The last ones are kept longest; more than these at once means that nobody knows who owned what.
-            self.former.remove(0);
-            if let Some(oldest) = self.former.first_mut() {
+    fn add_previous(&mut self, exclusion: PreviousExclusion<F>) {
+        self.previous.push(exclusion);
+        while self.previous.len() > MAX_PREVIOUS_EXCLUSIONS {
+            // The newest entries are kept. The oldest remaining one then stands for unknown owners: any front may have
+            // owned any key.
+            self.previous.remove(0);
+            if let Some(oldest) = self.previous.first_mut() {
                 oldest.excluded = None;
             }
         }
     }
 
-    /// Who runs a request of a key that came at `came_at`. `owner_without` gives the owner of the key among the fronts that are
-    /// not excluded; `retry_at` is when a request can come again that comes while this front's lease is not in force.
+    /// The front that may run a request of a key that arrived at `arrived_at`. `owner_without` returns the key's owner
+    /// among the fronts outside the given set. `retry_at` is when a request may be retried that arrives while this
+    /// front's lease is not valid.
     pub fn owner(
         &self,
         own: &F,
-        came_at: UnixMs,
+        arrived_at: UnixMs,
         has_valid_lease: bool,
         retry_at: UnixMs,
         owner_without: impl Fn(&BTreeSet<F>) -> Option<F>,
@@ -115,16 +119,20 @@
         if let Some(other) = owner_without(&self.excluded).filter(|owner| owner != own) {
             return KeyOwner::Other(other);
         }
-        // Without a lease nobody here knows who else takes it.
+        // Without a valid lease this front cannot know whether another front accepts the same key.
         if !has_valid_lease {
             return KeyOwner::NobodyUntil(retry_at);
         }
-        let was_elsewhere = |former: &&FormerExclusion<F>| match &former.excluded {
+        let may_have_other_owner = |exclusion: &&PreviousExclusion<F>| match &exclusion.excluded {
             Some(excluded) => owner_without(excluded).is_some_and(|owner| owner != *own),
             None => true,
         };
-        let in_doubt = self.former.iter().filter(|former| former.until > came_at).filter(was_elsewhere);
-        match in_doubt.map(|former| former.until).max_by(f64::total_cmp) {
+        let blocking = self
+            .previous
+            .iter()
+            .filter(|exclusion| exclusion.until > arrived_at)
+            .filter(may_have_other_owner);
+        match blocking.map(|exclusion| exclusion.until).max_by(f64::total_cmp) {
             Some(until) => KeyOwner::NobodyUntil(until),
             None => KeyOwner::Own,
         }
--- a/core/sites/src/report.rs
+++ b/core/sites/src/report.rs
@@ -1,4 +1,5 @@
-//! What fronts report on sites with their lease requests, and what they are told with the responses.
+//! The reports on sites that fronts send with their lease requests, and the view of sites that they receive in
+//! response.
 
 use elmtide_budgets::{Clocks, Micros};
 use serde::{Deserialize, Serialize};
@@ -6,79 +7,81 @@
 use crate::opinion::SiteOpinion;
 use crate::site::{RecoveryPhase, SiteId};
 
-/// What a front reports.
+/// A front's report to the leader.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SiteReport {
-    /// Its opinions of other sites that are not healthy.
+    /// The front's opinions on other sites; healthy ones are omitted.
     pub opinions: Vec<(SiteId, SiteOpinion)>,
-    /// It decides by the view of this revision; `None` before it has one.
+    /// Revision of the view that the front uses; `None` before it has received one.
     pub view_revision: Option<u64>,
-    /// It has the endpoint list and the purges of the time that it missed, since that view has its site in contact again.
+    /// Whether the front has received the endpoint list and the purges that it missed, after its view showed its site
+    /// to be in contact again.
     pub has_caught_up: bool,
-    /// The caches of its site are warm.
+    /// Whether the caches of the front's site are warm.
     pub caches_warm: bool,
-    /// It sheds load, or a budget of it is exhausted.
+    /// Whether the front sheds load or has exhausted one of its budgets.
     pub is_overloaded: bool,
 }
 
-/// The phase of each site by its number.
+/// A snapshot of the phases of all sites.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SiteView {
-    /// Of the state that it shows.
+    /// Revision of the replicated state at the time of the snapshot.
     pub revision: u64,
-    /// Version of the sites in force.
+    /// Version of the current site configuration.
     pub sites_version: u64,
-    /// By the number of the site.
+    /// The sites, in the order of their identifiers.
     pub sites: Vec<SiteViewEntry>,
 }
 
 /// One site of a view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SiteViewEntry {
-    /// How far it is in service.
+    /// The site's phase.
     pub phase: RecoveryPhase,
-    /// Since when, by the leader's Unix clock.
+    /// When the site entered this phase, by the leader's Unix clock in milliseconds.
     pub since_ms: u64,
-    /// An operator has declared it lost.
+    /// Whether an operator has declared the site lost.
     pub by_operator: bool,
 }
 
 impl SiteView {
-    /// How far a site is in service.
+    /// The phase of a site. A site missing from the view counts as serving.
     pub fn phase(&self, site: SiteId) -> RecoveryPhase {
         self.sites.get(usize::from(site.0)).map_or(RecoveryPhase::Serving, |entry| entry.phase)
     }
 
-    /// Sites that serve none of their clients.
+    /// Sites that serve none of their own clients.
     pub fn lost(&self) -> Vec<SiteId> {
-        let lost = self.sites.iter().enumerate().filter(|(_, entry)| entry.phase.serves_nobody());
-        lost.map(|(place, _)| SiteId(place as u16)).collect()
+        let lost = self.sites.iter().enumerate().filter(|(_, entry)| entry.phase.serves_no_clients());
+        lost.map(|(index, _)| SiteId(index as u16)).collect()
     }
 
-    /// Sites of which this front may have missed changes since an earlier view: those that differ from it, unless one change
-    /// lies between the two.
-    pub fn sites_with_missed_changes(&self, before: &SiteView) -> Vec<SiteId> {
-        if self.revision <= before.revision + 1 {
+    /// Sites with changes that the front may have missed since its previous view: all that differ between the two
+    /// views, or none if at most one change lies between them.
+    pub fn sites_with_missed_changes(&self, previous: &SiteView) -> Vec<SiteId> {
+        if self.revision <= previous.revision + 1 {
             return Vec::new();
         }
-        let has_changed = |(place, entry): &(usize, &SiteViewEntry)| before.sites.get(*place) != Some(*entry);
+        let has_changed =
+            |(index, entry): &(usize, &SiteViewEntry)| previous.sites.get(*index) != Some(*entry);
         let changed = self.sites.iter().enumerate().filter(has_changed);
-        changed.map(|(place, _)| SiteId(place as u16)).collect()
+        changed.map(|(index, _)| SiteId(index as u16)).collect()
     }
 
-    /// Whether no site has ever changed.
-    pub fn is_untouched(&self) -> bool {
+    /// Whether no site has ever changed its phase.
+    pub fn is_initial(&self) -> bool {
         self.sites.iter().all(|entry| entry.since_ms == 0)
     }
 }
 
-/// A view with its lease.
+/// A view together with the lease on it.
 #[derive(Clone, Debug)]
 pub struct LeasedSiteView {
     /// The view.
     pub view: SiteView,
-    /// The moment before the request.
+    /// The front's clocks just before it sent the request.
     pub requested_at: Clocks,
-    /// When the lease expires, by the monotonic clock.
+    /// When the lease expires, by the front's monotonic clock.
     pub expires_at: Micros,
 }
--- a/core/sites/src/site.rs
+++ b/core/sites/src/site.rs
@@ -1,19 +1,19 @@
-//! Sites, and the phases of a lost one's return.
+//! Identifiers of sites, and the phases of a lost site's recovery.
 
 use serde::{Deserialize, Serialize};
 
-/// A site by its place in the configuration.
+/// A site, identified by its index in the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct SiteId(pub u16);
 
-/// How far a site is in service: from lost through its recovery to serving all of its clients.
+/// The service level of a site: lost, in one of the phases of recovery, or serving all of its clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum RecoveryPhase {
-    /// Its clients go elsewhere.
+    /// Its clients are sent to other sites.
     Lost,
-    /// Its fronts are heard again.
+    /// Its fronts can be reached again.
     InContact,
-    /// Its fronts have the endpoint list and the purges of the time that they missed.
+    /// Its fronts have the endpoint list and the purges that they missed while the site was lost.
     CaughtUp,
     /// Its caches are warm.
     WarmedUp,
@@ -37,7 +37,7 @@
         RecoveryPhase::Serving,
     ];
 
-    /// Its name in log lines.
+    /// The phase's name in log lines.
     pub fn name(self) -> &'static str {
         match self {
             RecoveryPhase::Lost => "Lost",
@@ -50,13 +50,13 @@
         }
     }
 
-    /// The next phase of a recovery.
+    /// The phase that follows this one; `None` for [`RecoveryPhase::Serving`].
     pub fn next(self) -> Option<RecoveryPhase> {
-        let place = RecoveryPhase::ALL.iter().position(|phase| *phase == self)?;
-        RecoveryPhase::ALL.get(place + 1).copied()
+        let index = RecoveryPhase::ALL.iter().position(|phase| *phase == self)?;
+        RecoveryPhase::ALL.get(index + 1).copied()
     }
 
-    /// The part of its own clients that the site serves, in percent.
+    /// The percentage of its own clients that the site serves.
     pub fn client_percent(self) -> u8 {
         match self {
             RecoveryPhase::Serving => 100,
@@ -67,7 +67,7 @@
     }
 
     /// Whether the site serves none of its clients.
-    pub fn serves_nobody(self) -> bool {
+    pub fn serves_no_clients(self) -> bool {
         self.client_percent() == 0
     }
 }
--- a/core/sites/src/state.rs
+++ b/core/sites/src/state.rs
@@ -1,17 +1,19 @@
-//! Which sites are lost, and how far those that return have come: changed by commands of the replicated log only.
+//! Replicated state of the sites: which are lost, and how far the recovery of each has come. Only commands of the
+//! replicated log change it.
 //!
-//! **Invariant: a site is lost by the opinions of a majority of the sites that are not lost, two at least, one opinion each, held without a
-//! break for the site's patience; or by an operator.** Time comes with the commands and never goes back.
+//! **Invariant: a site is declared lost only by an operator, or by the opinions of a majority of the sites that are not
+//! lost. That takes at least two opinions, one per site, each held without interruption for the site's patience.** Time
+//! is taken from the commands and never goes backwards.
 //!
-//! | from | command | to | what has to hold |
+//! | from | command | to | precondition |
 //! | --- | --- | --- | --- |
-//! | serving | `DeclareLost` | lost | the opinions, held for its patience |
+//! | serving | `DeclareLost` | lost | the opinions, held for the site's patience |
 //! | serving | `OverrideByOperator` lost | lost | - |
-//! | lost | `AdvanceRecovery` | in contact | its fronts are heard by most |
-//! | in contact | `AdvanceRecovery` | caught up | its fronts report so: view and purges of the time that they missed |
-//! | caught up | `AdvanceRecovery` | warmed up | its caches are, by their slow-start budgets |
+//! | lost | `AdvanceRecovery` | in contact | a majority of its fronts can be reached |
+//! | in contact | `AdvanceRecovery` | caught up | its fronts report having the view and the purges that they missed |
+//! | caught up | `AdvanceRecovery` | warmed up | its caches are warm, according to their slow-start budgets |
 //! | warmed up, a quarter, a half | `AdvanceRecovery` | a quarter, a half, serving | nothing is overloaded |
-//! | any phase of a recovery | `DeclareLost` | lost | the opinions, without patience: in one step |
+//! | any phase of a recovery | `DeclareLost` | lost | the opinions, without patience; no phases in between |
 
 use std::collections::BTreeMap;
 
@@ -21,41 +23,41 @@
 use crate::opinion::SiteOpinion;
 use crate::site::{RecoveryPhase, SiteId};
 
-/// A loss within this many of the longest patience after a recovery counts against that recovery.
-const RELAPSE_PATIENCES: u64 = 4;
-/// The fewest opinions that make a loss, however few sites there are.
+/// A loss after a completed recovery counts as a relapse within this multiple of the maximum patience.
+const RELAPSE_WINDOW_FACTOR: u64 = 4;
+/// Minimum number of opinions for declaring a loss, however few sites there are.
 pub const MIN_OPINIONS: usize = 2;
-/// Doublings of the patience after which it does not grow any more.
+/// Maximum number of times that the patience is doubled.
 const MAX_PATIENCE_DOUBLINGS: u8 = 16;
 
-/// One site.
+/// The state of one site.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SiteEntry {
-    /// How far it is in service.
+    /// The site's phase.
     pub phase: RecoveryPhase,
-    /// Revision of its last change.
+    /// Revision of the site's last change.
     pub revision: u64,
-    /// When it came to its phase, by the leader's Unix clock.
+    /// When the site entered its phase, by the leader's Unix clock in milliseconds.
     pub since_ms: u64,
-    /// An operator has declared it lost.
+    /// Whether an operator has declared the site lost.
     pub by_operator: bool,
-    /// Recent recoveries that ended in another loss.
+    /// Number of recent recoveries that ended in another loss.
     pub failed_recoveries: u8,
 }
 
-/// A site's opinion of another one.
+/// One site's opinion on another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct HeldOpinion {
     opinion: SiteOpinion,
-    /// Since when it indicates a loss.
+    /// When the opinion began to indicate a loss; `None` if it does not.
     loss_since_ms: Option<u64>,
 }
 
-/// Opinions against a site.
+/// The opinions that a site is lost.
 struct OpinionsAgainst {
-    /// Since when each has been held.
+    /// When each opinion began.
     held_since_ms: Vec<u64>,
-    /// Sites that could have one.
+    /// Number of sites that may hold such an opinion.
     electorate: usize,
 }
 
@@ -66,50 +68,51 @@
     patience_ms: u64,
     max_patience_ms: u64,
     sites: BTreeMap<SiteId, SiteEntry>,
-    /// By whom, of whom.
+    /// By the site that holds the opinion and the site that it concerns.
     opinions: BTreeMap<(SiteId, SiteId), HeldOpinion>,
     revision: u64,
     clock_ms: u64,
 }
 
 impl SiteState {
-    /// Version of the sites in force; 0 before the first.
+    /// Version of the current site configuration; 0 before the first.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Revision of the last change of any site.
+    /// Revision of the last change to any site.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// All sites.
+    /// All sites, by identifier.
     pub fn sites(&self) -> &BTreeMap<SiteId, SiteEntry> {
         &self.sites
     }
 
-    /// Sites that serve none of their clients.
+    /// Sites that serve none of their own clients.
     pub fn lost(&self) -> Vec<SiteId> {
-        let lost = self.sites.iter().filter(|(_, entry)| entry.phase.serves_nobody());
+        let lost = self.sites.iter().filter(|(_, entry)| entry.phase.serves_no_clients());
         lost.map(|(site, _)| *site).collect()
     }
 
-    /// For how long opinions have to be held against this site now, in milliseconds: twice as long for each failed recovery.
+    /// How long opinions must currently be held before this site is declared lost, in milliseconds. The configured
+    /// patience doubles with each failed recovery, up to the maximum.
     pub fn patience_ms(&self, site: SiteId) -> u64 {
         let failed = self.sites.get(&site).map_or(0, |entry| entry.failed_recoveries);
-        let grown = self.patience_ms << failed.min(MAX_PATIENCE_DOUBLINGS);
-        grown.min(self.max_patience_ms.max(self.patience_ms))
+        let extended_ms = self.patience_ms << failed.min(MAX_PATIENCE_DOUBLINGS);
+        extended_ms.min(self.max_patience_ms.max(self.patience_ms))
     }
 
-    /// The opinion of one site of another one.
+    /// The opinion that the site `by` holds on the site `of`.
     pub fn opinion(&self, by: SiteId, of: SiteId) -> SiteOpinion {
         self.opinions.get(&(by, of)).map_or(SiteOpinion::HEALTHY, |held| held.opinion)
     }
 
-    /// Applies a command of the log.
+    /// Applies a command of the replicated log.
     ///
     /// # Errors
-    /// Why the command did nothing.
+    /// The reason why the command had no effect.
     pub fn apply(&mut self, command: &SiteCommand) -> Result<(), CommandRejected> {
         match command {
             SiteCommand::UpdateSites { version, sites, patience_ms, max_patience_ms } => {
@@ -169,8 +172,10 @@
         self.revision += 1;
         let Some(entry) = self.sites.get_mut(&site) else { return };
         if to == RecoveryPhase::Lost {
-            // A loss during a recovery, or soon after it, costs patience; one after a long time begins anew.
-            let is_relapse = at_ms.saturating_sub(entry.since_ms) < RELAPSE_PATIENCES * self.max_patience_ms;
+            // A loss during a recovery, or soon after it, counts as a failed recovery and doubles the patience. A loss
+            // after a long time in service resets the patience.
+            let is_relapse =
+                at_ms.saturating_sub(entry.since_ms) < RELAPSE_WINDOW_FACTOR * self.max_patience_ms;
             entry.failed_recoveries = match entry.phase {
                 RecoveryPhase::Lost => entry.failed_recoveries,
                 RecoveryPhase::Serving if entry.revision == 0 || !is_relapse => 0,
@@ -198,7 +203,7 @@
         let is_known = |site: &SiteId| self.sites.contains_key(site) && *site != by;
         let reported: BTreeMap<SiteId, SiteOpinion> =
             opinions.iter().copied().filter(|(site, _)| is_known(site)).collect();
-        self.opinions.retain(|(speaker, of), _| *speaker != by || reported.contains_key(of));
+        self.opinions.retain(|(observer, of), _| *observer != by || reported.contains_key(of));
         for (of, opinion) in reported {
             let held_since = self.opinions.get(&(by, of)).and_then(|held| held.loss_since_ms);
             let loss_since_ms = opinion.indicates_loss().then(|| held_since.unwrap_or(at_ms));
@@ -207,7 +212,7 @@
         Ok(())
     }
 
-    /// Opinions that a site is lost, of sites that are not lost themselves.
+    /// The opinions that a site is lost, from sites that are not lost themselves.
     fn opinions_against(&self, site: SiteId) -> OpinionsAgainst {
         let may_vote = |by: &SiteId| {
             *by != site && self.sites.get(by).is_some_and(|entry| entry.phase != RecoveryPhase::Lost)
@@ -231,13 +236,13 @@
             let present = held_since_ms.len() as u16;
             return Err(CommandRejected::TooFewOpinions { present, needed: needed as u16 });
         }
-        // Since when as many as are needed have held it.
+        // The moment from which the needed number of opinions have all been held.
         held_since_ms.sort_unstable();
         let since_ms = held_since_ms[needed - 1];
         let patience_ms = if is_recovering { 0 } else { self.patience_ms(site) };
-        let missing_ms = (since_ms + patience_ms).saturating_sub(self.clock_ms.max(at_ms));
-        if missing_ms > 0 {
-            return Err(CommandRejected::PatienceNotElapsed(missing_ms));
+        let remaining_ms = (since_ms + patience_ms).saturating_sub(self.clock_ms.max(at_ms));
+        if remaining_ms > 0 {
+            return Err(CommandRejected::PatienceNotElapsed(remaining_ms));
         }
         self.set_phase(site, RecoveryPhase::Lost, at_ms);
         Ok(())
@@ -274,7 +279,7 @@
         Ok(())
     }
 
-    /// What the leader may propose now: losses for which the opinions are there and have been held for long enough.
+    /// The losses that the leader may propose now: those with enough opinions, held for long enough.
     pub fn declarable_losses(&self, at_ms: u64) -> Vec<SiteCommand> {
         let candidates = self.sites.iter().filter(|(_, entry)| entry.phase != RecoveryPhase::Lost);
         let commands = candidates.map(|(site, entry)| SiteCommand::DeclareLost {
--- a/core/sites/tests/failover_plan.rs
+++ b/core/sites/tests/failover_plan.rs
@@ -1,31 +1,32 @@
-//! The plan for a loss: within all bounds, most worth first, signups whole or an error, stable when a number changes a little.
+//! The plan for a loss stays within all limits, serves the most valuable requests first, is an error unless all signups
+//! can be served, and changes little when an input changes a little.
 
 use elmtide_sites::failover_plan::{expansion_gains, tightest_bottleneck, Bottleneck, DisplacedLoad};
 use elmtide_sites::{plan, BindingConstraint, Class, FailoverPlan, Layout, Loss, PlanError, SiteCapacity};
 use proptest::prelude::*;
 
-fn class(name: &str, worth: f64, must: bool) -> Class {
+fn class(name: &str, weight: f64, is_required: bool) -> Class {
     Class {
         name: name.into(),
-        priority_weight: worth,
+        priority_weight: weight,
         work: 1.0,
         fills_per_request: 0.2,
-        must_be_served: must,
+        must_be_served: is_required,
     }
 }
 
-fn site(name: &str, room: f64, load: &[f64], links: &[f64]) -> SiteCapacity {
+fn site(name: &str, max_rate: f64, load: &[f64], link_capacities: &[f64]) -> SiteCapacity {
     SiteCapacity {
         name: name.into(),
-        capacity: room,
-        capacity_per_cache: room / 4.0,
+        capacity: max_rate,
+        capacity_per_cache: max_rate / 4.0,
         load: load.to_vec(),
-        link_capacity: links.to_vec(),
+        link_capacity: link_capacities.to_vec(),
     }
 }
 
-/// Three branches and two hubs; signups and files.
-fn three() -> Layout {
+/// Three branches and two hubs, with signups and files.
+fn three_branches() -> Layout {
     let branch = |name, load: &[f64]| site(name, 100.0, load, &[30.0, 15.0]);
     Layout {
         classes: vec![class("signup", 20.0, true), class("files", 1.0, false)],
@@ -41,93 +42,105 @@
     Loss { branches: branches.iter().copied().collect(), hubs: hubs.iter().copied().collect() }
 }
 
-/// All bounds, reckoned anew from the plan.
+/// Checks a plan against all limits, recomputed from the layout.
 fn check(layout: &Layout, loss: &Loss, plan: &FailoverPlan) -> Result<(), String> {
-    let near = |x: f64, most: f64, what: &str| match x <= most * (1.0 + 1e-6) + 1e-5 {
+    let check_at_most = |value: f64, limit: f64, what: &str| match value <= limit * (1.0 + 1e-6) + 1e-5 {
         true => Ok(()),
-        false => Err(format!("{what}: {x} of {most}")),
+        false => Err(format!("{what}: {value} of {limit}")),
     };
-    let taken = |to: usize, class: usize| -> f64 {
+    let redirected_to = |to: usize, class: usize| -> f64 {
         plan.moves.iter().filter(|m| m.to == to && m.class == class).map(|m| m.rate).sum()
     };
-    for (at, branch) in layout.branches.iter().enumerate() {
-        let served: Vec<f64> = (0..layout.classes.len()).map(|c| plan.own[at][c] + taken(at, c)).collect();
-        if loss.branches.contains(&at) && served.iter().any(|s| *s > 0.0) {
+    for (index, branch) in layout.branches.iter().enumerate() {
+        let served: Vec<f64> =
+            (0..layout.classes.len()).map(|c| plan.own[index][c] + redirected_to(index, c)).collect();
+        if loss.branches.contains(&index) && served.iter().any(|s| *s > 0.0) {
             return Err(format!("{} is lost and serves {served:?}", branch.name));
         }
         let work: f64 = served.iter().zip(&layout.classes).map(|(s, c)| s * c.work).sum();
-        near(work, branch.capacity, &format!("room of {}", branch.name))?;
-        let misses: f64 = served.iter().zip(&layout.classes).map(|(s, c)| s * c.fills_per_request).sum();
-        let fills: f64 = plan.fills[at].iter().sum();
-        near((misses - fills).abs(), 0.0, &format!("fills of {}", branch.name))?;
-        for (hub, fills) in plan.fills[at].iter().enumerate() {
-            near(*fills, branch.link_capacity[hub], "a link")?;
+        check_at_most(work, branch.capacity, &format!("capacity of {}", branch.name))?;
+        let cache_misses: f64 =
+            served.iter().zip(&layout.classes).map(|(s, c)| s * c.fills_per_request).sum();
+        let fills: f64 = plan.fills[index].iter().sum();
+        check_at_most((cache_misses - fills).abs(), 0.0, &format!("fills of {}", branch.name))?;
+        for (hub, fills) in plan.fills[index].iter().enumerate() {
+            check_at_most(*fills, branch.link_capacity[hub], "a link")?;
             if loss.hubs.contains(&hub) && *fills > 0.0 {
                 return Err("fills through a lost hub".into());
             }
         }
     }
     for (hub, site) in layout.hubs.iter().enumerate() {
-        near(plan.fills.iter().map(|f| f[hub]).sum(), site.capacity, "a hub")?;
+        check_at_most(plan.fills.iter().map(|f| f[hub]).sum(), site.capacity, "a hub")?;
     }
-    near(
+    check_at_most(
         plan.fills.iter().flatten().sum::<f64>() * layout.origin_fraction,
         layout.origin_capacity,
         "the origin",
     )?;
-    let of_lost = |m: &DisplacedLoad| loss.branches.contains(&m.from) && !loss.branches.contains(&m.to);
-    plan.moves.iter().all(of_lost).then_some(()).ok_or("a move that is none of a lost branch".to_owned())
+    let is_from_lost_branch =
+        |m: &DisplacedLoad| loss.branches.contains(&m.from) && !loss.branches.contains(&m.to);
+    plan.moves
+        .iter()
+        .all(is_from_lost_branch)
+        .then_some(())
+        .ok_or("a move that is not from a lost branch to a remaining one".to_owned())
 }
 
 #[test]
-fn a_lost_branch_goes_to_the_others_signups_first() {
-    let layout = three();
+fn a_lost_branchs_requests_are_all_redirected_when_they_fit() {
+    let layout = three_branches();
     let loss = lost(&[0], &[]);
     let plan = plan(&layout, &loss, None).unwrap();
     check(&layout, &loss, &plan).unwrap();
     let moved = |class: usize| plan.moves.iter().filter(|m| m.class == class).map(|m| m.rate).sum::<f64>();
     assert!((moved(0) - 5.0).abs() < 1e-4, "all signups: {plan:?}");
-    // What is left of both rooms: 45 and 58, of which the signups take 5; all 60 files fit.
+    // The remaining capacity is 45 and 58. The signups take 5 of it, and all 60 files fit.
     assert!((moved(1) - 60.0).abs() < 1e-3, "{plan:?}");
     assert!(plan.rejected.is_empty(), "{plan:?}");
 }
 
 #[test]
-fn where_it_does_not_fit_the_least_worth_is_refused_and_own_clients_keep_theirs() {
-    let mut layout = three();
+fn without_enough_capacity_the_least_valuable_is_rejected_and_own_clients_are_still_served() {
+    let mut layout = three_branches();
     layout.branches[1].capacity = 60.0;
     layout.branches[2].capacity = 60.0;
     let loss = lost(&[0], &[]);
     let plan = plan(&layout, &loss, None).unwrap();
     check(&layout, &loss, &plan).unwrap();
     assert!(plan.rejected.iter().all(|rejected| rejected.class == 1), "{:?}", plan.rejected);
-    for at in [1, 2] {
+    for index in [1, 2] {
         for class in 0..2 {
-            assert!(plan.own[at][class] >= 0.98 * layout.branches[at].load[class] - 1e-5, "{:?}", plan.own);
+            assert!(
+                plan.own[index][class] >= 0.98 * layout.branches[index].load[class] - 1e-5,
+                "{:?}",
+                plan.own
+            );
         }
     }
-    let Bottleneck { constraint: bound, gain } = tightest_bottleneck(&layout, &loss).unwrap().unwrap();
-    assert!(matches!(bound, BindingConstraint::Branch(_)) && gain > 0.0, "{bound:?} {gain}");
-    let boxes = expansion_gains(&layout, &loss).unwrap();
-    assert!(boxes.iter().all(|at| (at.gain - 25.0).abs() < 1e-3), "{boxes:?}");
+    let Bottleneck { constraint: tightest, gain } = tightest_bottleneck(&layout, &loss).unwrap().unwrap();
+    assert!(matches!(tightest, BindingConstraint::Branch(_)) && gain > 0.0, "{tightest:?} {gain}");
+    let gains = expansion_gains(&layout, &loss).unwrap();
+    assert!(gains.iter().all(|expansion| (expansion.gain - 25.0).abs() < 1e-3), "{gains:?}");
 }
 
 #[test]
-fn signups_that_can_not_all_be_served_are_an_error_before_the_day() {
-    let mut layout = three();
+fn a_plan_that_cannot_serve_all_signups_is_an_error() {
+    let mut layout = three_branches();
     layout.branches[0].load = vec![120.0, 60.0];
     layout.branches[0].capacity = 200.0;
-    let said = plan(&layout, &lost(&[0], &[]), None).unwrap_err();
-    // 45 and 58 are free, and 2 parts of 100 of the files that are there.
-    let PlanError::MustServe { class: 0, missing_rate: short, plan } = said else { panic!("{said}") };
-    assert!((short - (120.0 - 103.0 - 0.02 * 90.0)).abs() < 1e-3, "{short}");
+    let error = plan(&layout, &lost(&[0], &[]), None).unwrap_err();
+    // 45 and 58 are free, plus 2 % of the 90 files of the remaining branches.
+    let PlanError::MustServe { class: 0, missing_rate: missing, plan } = error else { panic!("{error}") };
+    assert!((missing - (120.0 - 103.0 - 0.02 * 90.0)).abs() < 1e-3, "{missing}");
     check(&layout, &lost(&[0], &[]), &plan).unwrap();
 }
 
-/// A greedy fill takes the nearest branch and its widest link; what binds is the hub that the other one needs.
+/// A greedy choice would use each branch's link of the highest capacity. The limit here is a hub that only one branch
+/// can do without.
 #[test]
-fn a_hubs_room_binds_and_the_plan_goes_round_it() {
-    let mut layout = three();
+fn a_branch_with_two_hubs_leaves_the_full_one_to_the_branch_that_needs_it() {
+    let mut layout = three_branches();
     layout.classes[1].fills_per_request = 0.5;
     layout.branches[1].link_capacity = vec![60.0, 0.0];
     layout.branches[2].link_capacity = vec![60.0, 60.0];
@@ -137,13 +150,13 @@
     let loss = lost(&[0], &[]);
     let plan = plan(&layout, &loss, None).unwrap();
     check(&layout, &loss, &plan).unwrap();
-    // Fills of b go through the east alone: c has to leave it to b.
+    // The fills of b can only go through the hub east, so c has to use the other one.
     assert!(plan.fills[1][0] > 24.0 && plan.fills[2][1] > 20.0, "{:?}", plan.fills);
 }
 
 #[test]
-fn a_lost_hub_is_filled_round() {
-    let mut layout = three();
+fn fills_avoid_a_lost_hub() {
+    let mut layout = three_branches();
     layout.branches.iter_mut().for_each(|b| b.link_capacity = vec![30.0, 30.0]);
     let loss = lost(&[], &[0]);
     let plan = plan(&layout, &loss, None).unwrap();
@@ -153,28 +166,31 @@
 }
 
 #[test]
-fn a_small_change_of_a_number_changes_the_plan_a_little() {
-    let layout = three();
+fn a_small_change_of_the_layout_changes_the_plan_only_a_little() {
+    let layout = three_branches();
     let loss = lost(&[0], &[]);
     let first = plan(&layout, &loss, None).unwrap();
-    let mut other = layout.clone();
-    other.branches[1].load[1] = 50.5;
-    other.branches[2].capacity = 101.0;
-    let second = plan(&other, &loss, Some(&first)).unwrap();
-    check(&other, &loss, &second).unwrap();
+    let mut changed_layout = layout.clone();
+    changed_layout.branches[1].load[1] = 50.5;
+    changed_layout.branches[2].capacity = 101.0;
+    let second = plan(&changed_layout, &loss, Some(&first)).unwrap();
+    check(&changed_layout, &loss, &second).unwrap();
     let rate = |p: &FailoverPlan, from, to, class| {
         p.moves.iter().filter(|m| (m.from, m.to, m.class) == (from, to, class)).map(|m| m.rate).sum::<f64>()
     };
-    let changed: f64 = (1..3)
+    let changed_rate: f64 = (1..3)
         .flat_map(|to| (0..2).map(move |class| (to, class)))
         .map(|(to, class)| (rate(&first, 0, to, class) - rate(&second, 0, to, class)).abs())
         .sum();
-    assert!(changed < 1.5, "{changed} of 65 requests a second go elsewhere: {first:?} {second:?}");
+    assert!(
+        changed_rate < 1.5,
+        "{changed_rate} of 65 requests per second change their destination: {first:?} {second:?}"
+    );
 }
 
 #[test]
-fn figures_that_are_none_are_refused() {
-    for spoil in [
+fn invalid_values_in_a_layout_are_rejected() {
+    for invalidate in [
         |l: &mut Layout| l.origin_capacity = f64::NAN,
         |l: &mut Layout| l.branches[0].capacity = -1.0,
         |l: &mut Layout| l.max_own_loss = 2.0,
@@ -182,8 +198,8 @@
         |l: &mut Layout| l.branches[1].link_capacity.truncate(1),
         |l: &mut Layout| l.classes[0].priority_weight = f64::INFINITY,
     ] {
-        let mut layout = three();
-        spoil(&mut layout);
+        let mut layout = three_branches();
+        invalidate(&mut layout);
         assert!(matches!(
             plan(&layout, &Loss::default(), None),
             Err(PlanError::InvalidOrigin
@@ -204,8 +220,8 @@
                 class("previews", 0.3, false),
             ],
             branches: (branches.into_iter().enumerate())
-                .map(|(n, (room, signups, files, a, b))| {
-                    site(&format!("b{n}"), room, &[signups, files, files / 2.0], &[a, b])
+                .map(|(n, (capacity, signups, files, a, b))| {
+                    site(&format!("b{n}"), capacity, &[signups, files, files / 2.0], &[a, b])
                 })
                 .collect(),
             hubs: vec![site("east", east, &[], &[]), site("west", west, &[], &[])],
@@ -218,19 +234,20 @@
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(96))]
-    /// Whatever is lost: the bounds hold, own clients keep what they had, and no more worth is served than with nothing lost.
+    /// For each loss of one site the limits hold, the loss of a branch leaves other branches' own clients served, and
+    /// the loss of a hub does not increase the value served.
     #[test]
-    fn bounds_hold_for_every_loss(layout in layout()) {
-        let usual = plan(&layout, &Loss::default(), None).map_err(|e| TestCaseError::fail(e.to_string()))?;
-        check(&layout, &Loss::default(), &usual).map_err(TestCaseError::fail)?;
+    fn limits_hold_for_every_loss_of_one_site(layout in layout()) {
+        let baseline = plan(&layout, &Loss::default(), None).map_err(|e| TestCaseError::fail(e.to_string()))?;
+        check(&layout, &Loss::default(), &baseline).map_err(TestCaseError::fail)?;
         for loss in layout.single_losses() {
             let plan = plan(&layout, &loss, None).map_err(|e| TestCaseError::fail(e.to_string()))?;
             check(&layout, &loss, &plan).map_err(TestCaseError::fail)?;
-            prop_assert!(plan.value <= usual.value * (1.0 + 1e-6) + 1e-3 || !loss.branches.is_empty());
+            prop_assert!(plan.value <= baseline.value * (1.0 + 1e-6) + 1e-3 || !loss.branches.is_empty());
             if loss.hubs.is_empty() {
-                for at in (0..layout.branches.len()).filter(|b| !loss.branches.contains(b)) {
+                for index in (0..layout.branches.len()).filter(|b| !loss.branches.contains(b)) {
                     for class in 0..layout.classes.len() {
-                        prop_assert!(plan.own[at][class] >= 0.98 * usual.own[at][class] - 1e-4);
+                        prop_assert!(plan.own[index][class] >= 0.98 * baseline.own[index][class] - 1e-4);
                     }
                 }
             }
--- a/front/src/fleet/site_failover.rs
+++ b/front/src/fleet/site_failover.rs
@@ -220,10 +220,10 @@
         let now = clock::steady_ms();
         let until = now + lease_ms + self.config.key_lifetime;
         match before {
-            None => ownership.begin(excluded, view.is_untouched(), now, until),
+            None => ownership.set_initial(excluded, view.is_initial(), now, until),
             Some(before) => {
                 let uncertain = self.fronts_of(&view.sites_with_missed_changes(before));
-                ownership.change(&self.config.own_name, excluded, &uncertain, now, until);
+                ownership.update(&self.config.own_name, excluded, &uncertain, now, until);
             }
         }
     }
--- a/front/src/lifecycle/edge.rs
+++ b/front/src/lifecycle/edge.rs
@@ -493,11 +493,11 @@
         let name = &failover.sites().layout.branches.get(branch)?.name;
         config.branch.iter().position(|b| b.name == *name).map(|p| BranchId(p as u16))
     };
-    let displaced = current.routing().branches().iter().enumerate().filter(|(_, b)| b.at_home < 1.0);
+    let displaced = current.routing().branches().iter().enumerate().filter(|(_, b)| b.home_fraction < 1.0);
     let away = displaced.filter_map(|(branch, routing)| {
         let destinations = routing.destinations.iter();
-        let to = destinations.filter_map(|d| Some((place(d.branch)?, d.reach))).collect();
-        Some((place(branch)?, Away { home: routing.at_home, to }))
+        let to = destinations.filter_map(|d| Some((place(d.branch)?, d.interval_end))).collect();
+        Some((place(branch)?, Away { home: routing.home_fraction, to }))
     });
     away.collect()
 }
