--- a/core/cells/src/concurrency.rs
+++ b/core/cells/src/concurrency.rs
@@ -1,79 +1,96 @@
-//! How many requests of a cell run at once, by what their latency tells (additive increase, multiplicative decrease).
+//! Adapts the concurrency limit of a cell to the latency of its requests: additive increase, multiplicative decrease.
 
 use crate::Ms;
 
-/// The limit falls by this part, at most once in the time that a request takes.
-const FALL: f64 = 0.85;
-/// The latency at rest is forgotten at this rate a second, so that a slower fleet is learned.
-const FORGET: f64 = 0.02;
-/// Weight of one latency in the mean.
-const GAIN: f64 = 0.1;
-/// What the mean has above the latency at rest halves in this time. A cell that is overloaded shows it anew with each request;
-/// one that gets few must not be judged by what was long ago.
+/// A decrease multiplies the limit by this; at most one decrease in the time that a request takes.
+const DECREASE_FACTOR: f64 = 0.85;
+/// Fraction by which the baseline latency rises each second, so that it follows a fleet that has become slower.
+const BASELINE_GROWTH_PER_S: f64 = 0.02;
+/// Weight of one latency in the moving average.
+const MEAN_WEIGHT: f64 = 0.1;
+/// Half-life of the excess of the mean over the baseline. An overloaded cell renews the excess with each request; a
+/// cell that gets few requests must not be held back by old latencies.
 const EXCESS_HALF_LIFE: Ms = 500.0;
 
+/// The concurrency limit of a cell, and the latencies that it depends on.
 #[derive(Clone, Debug)]
-pub struct Concurrency {
+pub struct ConcurrencyLimit {
     limit: f64,
-    least: f64,
-    most: f64,
+    min: f64,
+    max: f64,
+    /// The cell is overloaded above this many times the baseline latency.
     tolerance: f64,
-    /// Latency at rest, and the mean of late; none before the first.
-    rest: Option<Ms>,
+    /// Latency without load; `None` before the first request.
+    baseline: Option<Ms>,
+    /// Moving average of the latency.
     mean: Ms,
-    fell: Ms,
-    seen: Ms,
+    decreased_at: Ms,
+    sampled_at: Ms,
 }
 
-impl Concurrency {
-    pub fn new(running: (f64, f64, f64), tolerance: f64) -> Concurrency {
-        let (start, least, most) = running;
-        Concurrency { limit: start, least, most, tolerance, rest: None, mean: 0.0, fell: f64::MIN, seen: 0.0 }
+impl ConcurrencyLimit {
+    /// `bounds` are the initial, the lowest and the highest limit.
+    pub fn new(bounds: (f64, f64, f64), tolerance: f64) -> ConcurrencyLimit {
+        let (initial, min, max) = bounds;
+        ConcurrencyLimit {
+            limit: initial,
+            min,
+            max,
+            tolerance,
+            baseline: None,
+            mean: 0.0,
+            decreased_at: f64::MIN,
+            sampled_at: 0.0,
+        }
     }
 
     pub fn limit(&self) -> f64 {
         self.limit
     }
 
-    /// Mean latency of late; 0 before the first.
-    pub fn latency(&self) -> Ms {
+    /// Moving average of the latency; 0 before the first request.
+    pub fn mean_latency(&self) -> Ms {
         self.mean
     }
 
-    /// Whether latency of late is above what is borne.
-    pub fn strained(&self, now: Ms) -> bool {
-        self.rest.is_some_and(|rest| self.faded_mean(rest, now) > rest * self.tolerance)
+    /// Whether the recent latency is above the tolerated one.
+    pub fn is_overloaded(&self, now: Ms) -> bool {
+        self.baseline.is_some_and(|baseline| self.decayed_mean(baseline, now) > baseline * self.tolerance)
     }
 
-    /// The mean latency, with what it has above the latency at rest faded since the last request.
-    fn faded_mean(&self, rest: Ms, now: Ms) -> Ms {
-        let excess = (self.mean - rest).max(0.0);
-        let half_lives = (now - self.seen).max(0.0) / EXCESS_HALF_LIFE;
-        self.mean.min(rest + excess * 0.5f64.powf(half_lives))
+    /// The mean latency, its excess over the baseline decayed for the time since the last request.
+    fn decayed_mean(&self, baseline: Ms, now: Ms) -> Ms {
+        let excess = (self.mean - baseline).max(0.0);
+        let half_lives = (now - self.sampled_at).max(0.0) / EXCESS_HALF_LIFE;
+        self.mean.min(baseline + excess * 0.5f64.powf(half_lives))
     }
 
-    /// A request has come back: how long it took, how many ran then, and whether it was lost (timed out, turned away).
-    pub fn back(&mut self, latency: Ms, running: usize, lost: bool, now: Ms) {
+    /// Records a completed request: its latency, how many requests ran when it ended, and whether it failed (timed out
+    /// or was refused by the node).
+    pub fn record(&mut self, latency: Ms, running: usize, failed: bool, now: Ms) {
         if !(latency.is_finite() && latency >= 0.0 && now.is_finite()) {
             return;
         }
-        let passed = (now - self.seen).clamp(0.0, 60_000.0) / 1000.0;
-        let mean = self.rest.map_or(latency, |rest| {
-            let faded = self.faded_mean(rest, now);
-            faded + (latency - faded) * GAIN
+        let passed_s = (now - self.sampled_at).clamp(0.0, 60_000.0) / 1000.0;
+        let mean = self.baseline.map_or(latency, |baseline| {
+            let decayed = self.decayed_mean(baseline, now);
+            decayed + (latency - decayed) * MEAN_WEIGHT
+        });
+        let baseline = self.baseline.map_or(latency, |baseline| {
+            (baseline * (1.0 + BASELINE_GROWTH_PER_S * passed_s)).min(latency.max(0.1))
         });
-        let rest = self.rest.map_or(latency, |rest| (rest * (1.0 + FORGET * passed)).min(latency.max(0.1)));
-        self.seen = self.seen.max(now);
+        self.sampled_at = self.sampled_at.max(now);
         self.mean = mean;
-        self.rest = Some(rest.max(0.1));
-        if lost || self.strained(now) {
-            if now - self.fell > self.mean.max(rest) {
-                self.limit = (self.limit * FALL).max(self.least);
-                self.fell = now;
+        self.baseline = Some(baseline.max(0.1));
+        if failed || self.is_overloaded(now) {
+            if now - self.decreased_at > self.mean.max(baseline) {
+                self.limit = (self.limit * DECREASE_FACTOR).max(self.min);
+                self.decreased_at = now;
             }
         } else if running as f64 * 2.0 >= self.limit {
-            // Only what is used may grow: a burst after idleness finds the limit where it was.
-            self.limit = (self.limit + 1.0 / self.limit).min(self.most);
+            // The limit grows only while at least half of it is used, so that a burst after an idle time doesn't find a
+            // limit that no load has confirmed.
+            self.limit = (self.limit + 1.0 / self.limit).min(self.max);
         }
     }
 }
--- a/core/cells/src/evacuate.rs
+++ b/core/cells/src/evacuate.rs
@@ -1,56 +1,58 @@
-//! Emptying a cell into others: as much as they have room for, the most worth first; the rest is refused, and never
-//! spread over all.
+//! Places the shops of an evacuated cell into other cells, as far as those have capacity, by value per load. The
+//! remaining shops are refused as a whole; the shortage is not spread over all.
 
 use crate::{CellIx, ShopId};
 
-/// What a shop brings.
+/// The load that a shop brings.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Load {
     pub shop: ShopId,
-    /// Requests running at once.
+    /// Concurrent requests.
     pub running: f64,
-    /// What serving it is worth, by the operators' order.
+    /// Value of serving it, by the operators' setting.
     pub worth: f64,
-    /// The cell that serves it now, where its copies lie.
+    /// The cell that serves it now and has its copies.
     pub host: CellIx,
 }
 
+/// Where each shop goes, and the shops that are refused.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Evacuation {
-    pub moved: Vec<(ShopId, CellIx)>,
+    pub placed: Vec<(ShopId, CellIx)>,
     pub refused: Vec<ShopId>,
 }
 
-/// Places shops into cells with room (running requests that they could bear besides): by worth for what they take,
-/// each into the cell that serves it now if that has room, else into the one with most room left.
-pub fn plan(loads: &[Load], room: &[(CellIx, f64)]) -> Evacuation {
+/// Places shops into cells with spare capacity, given as the concurrent requests that each cell can take in addition.
+/// Shops are taken in the order of value per load; each goes to the cell that serves it now if that has capacity, else
+/// to the cell with most capacity left.
+pub fn plan(loads: &[Load], capacities: &[(CellIx, f64)]) -> Evacuation {
     let mut order: Vec<&Load> =
         loads.iter().filter(|l| l.running.is_finite() && l.worth.is_finite()).collect();
     let density = |l: &Load| l.worth / l.running.max(1e-9);
     order.sort_by(|a, b| density(b).total_cmp(&density(a)).then(a.shop.cmp(&b.shop)));
-    let mut left: Vec<(CellIx, f64)> = room.iter().filter(|(_, r)| r.is_finite()).copied().collect();
-    let mut out = Evacuation::default();
+    let mut left: Vec<(CellIx, f64)> = capacities.iter().filter(|(_, c)| c.is_finite()).copied().collect();
+    let mut plan = Evacuation::default();
     for load in order {
-        match host_for(load, &mut left) {
-            Some((cell, room)) => {
-                *room -= load.running;
-                out.moved.push((load.shop, *cell));
+        match choose_host(load, &mut left) {
+            Some((cell, capacity)) => {
+                *capacity -= load.running;
+                plan.placed.push((load.shop, *cell));
             }
-            None => out.refused.push(load.shop),
+            None => plan.refused.push(load.shop),
         }
     }
-    let placed = |shop: &ShopId| out.moved.iter().any(|(s, _)| s == shop) || out.refused.contains(shop);
-    let unplaced: Vec<ShopId> = loads.iter().map(|l| l.shop).filter(|s| !placed(s)).collect();
-    out.refused.extend(unplaced);
-    out
+    let decided = |shop: &ShopId| plan.placed.iter().any(|(s, _)| s == shop) || plan.refused.contains(shop);
+    let undecided: Vec<ShopId> = loads.iter().map(|l| l.shop).filter(|s| !decided(s)).collect();
+    plan.refused.extend(undecided);
+    plan
 }
 
-/// The cell for a shop among those with enough room, and the room left there.
-fn host_for<'a>(load: &Load, left: &'a mut [(CellIx, f64)]) -> Option<&'a mut (CellIx, f64)> {
-    let fitting = left.iter_mut().filter(|(_, room)| *room >= load.running);
-    fitting.max_by(|one, other| {
+/// The cell for a shop among those with enough capacity, and the capacity left there.
+fn choose_host<'a>(load: &Load, left: &'a mut [(CellIx, f64)]) -> Option<&'a mut (CellIx, f64)> {
+    let candidates = left.iter_mut().filter(|(_, capacity)| *capacity >= load.running);
+    candidates.max_by(|a, b| {
         let is_host = |cell: CellIx| cell == load.host;
-        is_host(one.0).cmp(&is_host(other.0)).then(one.1.total_cmp(&other.1))
+        is_host(a.0).cmp(&is_host(b.0)).then(a.1.total_cmp(&b.1))
     })
 }
 
--- a/core/cells/src/moves.rs
+++ b/core/cells/src/moves.rs
@@ -1,18 +1,19 @@
-//! Bringing a shop from one cell to another in service.
+//! Moves a shop from one cell to another while it is being served.
 //!
-//! | step | what holds before it | who is served where | what undoes it |
+//! | step | condition to reach the next step | who serves the shop | effect of an undo |
 //! | --- | --- | --- | --- |
-//! | prepared | the target has a box that is ready, and no other move warms it | all in the old cell | nothing to undo |
-//! | warming | the target is not strained each time that the share doubles | a rising share of the objects in the new cell, signups in the old | all back to the old at once |
-//! | switching | the share is whole | all but signups in the new cell | all back to the old at once |
-//! | settling | none | all in the new cell; signups that began in the old end there | all back to the old, signups in flight end where they are |
-//! | done | no signup is in flight in the old cell, or the longest deadline has passed | all in the new cell | another move |
+//! | prepared | the target has a ready cache node, and no other move is warming it | the old cell | nothing to undo |
+//! | warming | the target is not overloaded at each doubling of the share | the new cell for a growing share of the objects, the old cell for the rest and for signups | all back to the old cell at once |
+//! | switching | the share is complete | the new cell, the old cell for signups | all back to the old cell at once |
+//! | settling | none | the new cell; signups that began in the old cell end there | all back to the old cell, signups in flight end where they are |
+//! | done | no signup is in flight in the old cell, or the longest deadline has passed | the new cell | needs another move |
 
-use crate::{unit, CellIx, Ms, ShopId};
+use crate::{hash_to_unit, CellIx, Ms, ShopId};
 
-/// Objects that move first, as a part of all.
-const FIRST: f64 = 1.0 / 16.0;
+/// Fraction of the objects that move first.
+const INITIAL_SHARE: f64 = 1.0 / 16.0;
 
+/// Progress of a move; the module's table describes the steps.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Step {
     Prepared,
@@ -23,52 +24,61 @@
     Undone,
 }
 
-/// What is known of the two cells at a moment.
+/// State of the two cells that decides whether a move may go on.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Facts {
-    /// The target has a box that is ready.
+pub struct MoveConditions {
+    /// The target has a ready cache node.
     pub target_ready: bool,
-    /// The target's latency is above what is borne, or it refuses.
-    pub target_strained: bool,
-    /// Another move warms the target.
-    pub target_taken: bool,
-    /// Requests of the shop that must run once and are in flight in the old cell.
-    pub once_in_old: usize,
+    /// The target's latency is above the tolerated one, or it has requests waiting.
+    pub target_overloaded: bool,
+    /// Another move is warming the target.
+    pub target_busy: bool,
+    /// The shop's signups in flight in the old cell.
+    pub signups_in_old_cell: usize,
 }
 
+/// A move of one shop between two cells.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Move {
     pub shop: ShopId,
     pub from: CellIx,
     pub to: CellIx,
     pub step: Step,
-    pub(crate) since: Ms,
-    /// How long a share takes before it doubles, and a signup in the old cell at most.
-    pub(crate) every: Ms,
-    pub(crate) longest: Ms,
+    pub(crate) step_started_at: Ms,
+    /// Time before the share doubles, and the longest time that a signup may run in the old cell.
+    pub(crate) step_interval: Ms,
+    pub(crate) max_request_ms: Ms,
 }
 
 impl Move {
-    pub fn new(shop: ShopId, from: CellIx, to: CellIx, every: Ms, longest: Ms, now: Ms) -> Move {
-        Move { shop, from, to, step: Step::Prepared, since: now, every, longest }
+    /// A move that has not started yet.
+    pub fn new(
+        shop: ShopId,
+        from: CellIx,
+        to: CellIx,
+        step_interval: Ms,
+        max_request_ms: Ms,
+        now: Ms,
+    ) -> Move {
+        Move { shop, from, to, step: Step::Prepared, step_started_at: now, step_interval, max_request_ms }
     }
 
-    /// Whether nothing more is to come of it.
-    pub fn is_over(&self) -> bool {
+    /// Whether the move is done or undone.
+    pub fn is_finished(&self) -> bool {
         matches!(self.step, Step::Done | Step::Undone)
     }
 
-    /// Whether it puts new work on the target's boxes step by step.
-    pub fn warms(&self) -> bool {
+    /// Whether the move is adding load to the target's cache nodes.
+    pub fn is_warming(&self) -> bool {
         matches!(self.step, Step::Warming { .. } | Step::Switching)
     }
 
-    /// Where a request of the shop is served now.
-    pub fn place(&self, object: u64, once: bool) -> CellIx {
+    /// The cell that serves a request of the shop now.
+    pub fn serving_cell(&self, object: u64, once: bool) -> CellIx {
         let moved = match self.step {
             Step::Prepared | Step::Undone => false,
-            // Always the same objects, so that each is fetched into the new cell once.
-            Step::Warming { share } => !once && unit(object ^ self.shop.0) < share,
+            // The same objects each time, so that each is fetched into the new cell only once.
+            Step::Warming { share } => !once && hash_to_unit(object ^ self.shop.0) < share,
             Step::Switching => !once,
             Step::Settling | Step::Done => true,
         };
@@ -79,34 +89,46 @@
         }
     }
 
-    /// Goes a step on if what has to hold does; true where something has changed.
-    pub fn advance(&mut self, facts: Facts, now: Ms) -> bool {
-        let waited = now - self.since >= self.every;
+    /// Takes the next step if its condition holds; returns whether the step has changed.
+    pub fn advance(&mut self, conditions: MoveConditions, now: Ms) -> bool {
+        let interval_passed = now - self.step_started_at >= self.step_interval;
         let next = match self.step {
-            Step::Prepared if facts.target_ready && !facts.target_taken => Step::Warming { share: FIRST },
-            // A target that loses its boxes while it warms is left at once: the old cell still has all of it.
-            Step::Warming { .. } | Step::Switching if !facts.target_ready => Step::Undone,
-            Step::Warming { share } if waited && !facts.target_strained => match share * 2.0 {
-                whole if whole >= 1.0 => Step::Switching,
-                more => Step::Warming { share: more },
-            },
-            // Two spans of strain on end take half back.
-            Step::Warming { share } if now - self.since >= 2.0 * self.every && share > FIRST => {
+            Step::Prepared if conditions.target_ready && !conditions.target_busy => {
+                Step::Warming { share: INITIAL_SHARE }
+            }
+            // A target that loses its cache nodes while warming is abandoned at once: the old cell still has all
+            // copies.
+            Step::Warming { .. } | Step::Switching if !conditions.target_ready => Step::Undone,
+            Step::Warming { share } if interval_passed && !conditions.target_overloaded => {
+                match share * 2.0 {
+                    doubled if doubled >= 1.0 => Step::Switching,
+                    partial => Step::Warming { share: partial },
+                }
+            }
+            // Overload for two intervals halves the share.
+            Step::Warming { share }
+                if now - self.step_started_at >= 2.0 * self.step_interval && share > INITIAL_SHARE =>
+            {
                 Step::Warming { share: share / 2.0 }
             }
-            Step::Switching if waited && !facts.target_strained => Step::Settling,
-            Step::Settling if facts.once_in_old == 0 || now - self.since >= self.longest => Step::Done,
+            Step::Switching if interval_passed && !conditions.target_overloaded => Step::Settling,
+            Step::Settling
+                if conditions.signups_in_old_cell == 0
+                    || now - self.step_started_at >= self.max_request_ms =>
+            {
+                Step::Done
+            }
             _ => return false,
         };
-        (self.step, self.since) = (next, now);
+        (self.step, self.step_started_at) = (next, now);
         true
     }
 
-    /// Back to the old cell, from whatever step; true where there was something to undo.
+    /// Returns the shop to the old cell, from any step; returns whether there was something to undo.
     pub fn undo(&mut self, now: Ms) -> bool {
-        let undone = !self.is_over();
+        let undone = !self.is_finished();
         if undone {
-            (self.step, self.since) = (Step::Undone, now);
+            (self.step, self.step_started_at) = (Step::Undone, now);
         }
         undone
     }
--- a/core/cells/src/shares.rs
+++ b/core/cells/src/shares.rs
@@ -1,82 +1,93 @@
-//! What cells have in common (fills from parents and the origin): a share for each that others can't use up, and a
-//! loan of what lies idle.
+//! Divides the fills from parents and origin among cells: each cell has a guaranteed share, and may borrow what the
+//! others leave unused.
 //!
-//! Each cell has a token bucket of its share. What a full bucket can't take goes into a pool that any cell may draw
-//! from. So only what is idle is lent, all together never draw more than the whole and one `recall`'s worth at once, and
-//! a cell that wakes finds its own bucket full: what was lent is taken back within `recall`.
+//! Each cell has a token bucket for its share. Tokens that a full bucket can't take go into a pool from which any cell
+//! may take. So only unused tokens are lent, all cells together never take more than the whole rate plus one
+//! `recall_ms` of it at once, and a cell that becomes active finds its own bucket full: lent capacity is returned
+//! within `recall_ms`.
 
 use crate::Ms;
 
+/// The token bucket of one cell.
 #[derive(Clone, Debug)]
-struct Share {
+struct Bucket {
+    /// Tokens per second.
     rate: f64,
     tokens: f64,
-    most: f64,
+    capacity: f64,
 }
 
+/// The buckets of all cells, and the pool of unused tokens.
 #[derive(Clone, Debug)]
 pub struct Shares {
-    cells: Vec<Share>,
+    cells: Vec<Bucket>,
     pool: f64,
-    pool_most: f64,
+    pool_capacity: f64,
     now: Ms,
     unlimited: bool,
 }
 
-/// From where a token came.
+/// Where a token was taken from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Drawn {
+pub enum TokenSource {
     Own,
-    Lent,
+    Pool,
 }
 
 impl Shares {
-    /// `rate` a second in all; none for no limit. What the shares leave over goes into the pool.
-    pub fn new(rate: f64, parts: &[f64], recall: Ms, now: Ms) -> Shares {
-        let span = recall / 1000.0;
-        let share = |part: &f64| {
-            let (rate, most) = (rate * part, (rate * part * span).max(1.0));
-            Share { rate, tokens: most, most }
+    /// `rate` is the number of fills per second of all cells; 0 is no limit. `fractions` are the cells' shares of it; a
+    /// part that no cell has is not used.
+    pub fn new(rate: f64, fractions: &[f64], recall_ms: Ms, now: Ms) -> Shares {
+        let recall_s = recall_ms / 1000.0;
+        let bucket = |fraction: &f64| {
+            let (rate, capacity) = (rate * fraction, (rate * fraction * recall_s).max(1.0));
+            Bucket { rate, tokens: capacity, capacity }
         };
-        let pool_most = (rate * span / 2.0).max(1.0);
-        Shares { cells: parts.iter().map(share).collect(), pool: 0.0, pool_most, now, unlimited: rate <= 0.0 }
+        let pool_capacity = (rate * recall_s / 2.0).max(1.0);
+        Shares {
+            cells: fractions.iter().map(bucket).collect(),
+            pool: 0.0,
+            pool_capacity,
+            now,
+            unlimited: rate <= 0.0,
+        }
     }
 
     fn advance(&mut self, now: Ms) {
-        let passed = (now - self.now).clamp(0.0, 60_000.0) / 1000.0;
-        if passed.is_nan() || passed <= 0.0 {
+        let passed_s = (now - self.now).clamp(0.0, 60_000.0) / 1000.0;
+        if passed_s.is_nan() || passed_s <= 0.0 {
             return;
         }
         self.now = now;
-        for share in &mut self.cells {
-            let filled = share.tokens + share.rate * passed;
-            share.tokens = filled.min(share.most);
-            self.pool = (self.pool + filled - share.tokens).min(self.pool_most);
+        for bucket in &mut self.cells {
+            let filled = bucket.tokens + bucket.rate * passed_s;
+            bucket.tokens = filled.min(bucket.capacity);
+            self.pool = (self.pool + filled - bucket.tokens).min(self.pool_capacity);
         }
     }
 
-    /// One fill for a cell, if it may.
-    pub fn draw(&mut self, cell: usize, now: Ms) -> Option<Drawn> {
+    /// Takes a token for one fill of a cell, if there is one.
+    pub fn take(&mut self, cell: usize, now: Ms) -> Option<TokenSource> {
         if self.unlimited {
-            return Some(Drawn::Own);
+            return Some(TokenSource::Own);
         }
         self.advance(now);
-        let share = self.cells.get_mut(cell)?;
-        if share.tokens >= 1.0 {
-            share.tokens -= 1.0;
-            return Some(Drawn::Own);
+        let bucket = self.cells.get_mut(cell)?;
+        if bucket.tokens >= 1.0 {
+            bucket.tokens -= 1.0;
+            return Some(TokenSource::Own);
         }
         if self.pool >= 1.0 {
             self.pool -= 1.0;
-            return Some(Drawn::Lent);
+            return Some(TokenSource::Pool);
         }
         None
     }
 
-    /// Whether the cell may go on filling; nothing is drawn.
-    pub fn may(&mut self, cell: usize, now: Ms) -> bool {
+    /// Whether there is a token for a fill of the cell; takes none.
+    pub fn has_token(&mut self, cell: usize, now: Ms) -> bool {
         self.advance(now);
-        self.unlimited || self.pool >= 1.0 || self.cells.get(cell).is_some_and(|s| s.tokens >= 1.0)
+        self.unlimited || self.pool >= 1.0 || self.cells.get(cell).is_some_and(|b| b.tokens >= 1.0)
     }
 }
 
@@ -84,41 +95,41 @@
 mod tests {
     use super::*;
 
-    fn drawn(shares: &mut Shares, cell: usize, per_ms: usize, from: usize, to: usize) -> usize {
-        (from..to).map(|t| (0..per_ms).filter(|_| shares.draw(cell, t as f64).is_some()).count()).sum()
+    fn take_all(shares: &mut Shares, cell: usize, per_ms: usize, from: usize, to: usize) -> usize {
+        (from..to).map(|t| (0..per_ms).filter(|_| shares.take(cell, t as f64).is_some()).count()).sum()
     }
 
-    /// One cell that asks without end gets its share and what is idle, never more than the whole.
+    /// A cell with unlimited demand gets its share and what the others leave unused, never more than the whole rate.
     #[test]
-    fn what_is_idle_is_lent() {
+    fn unused_tokens_are_lent() {
         let mut shares = Shares::new(100.0, &[0.25, 0.25, 0.5], 1000.0, 0.0);
-        let got = drawn(&mut shares, 0, 5, 0, 10_000);
-        assert!((950..=1080).contains(&got), "{got} in 10 s");
+        let taken = take_all(&mut shares, 0, 5, 0, 10_000);
+        assert!((950..=1080).contains(&taken), "{taken} in 10 s");
     }
 
-    /// A cell that wakes has its share at once, and the borrower is back at its own within the recall time.
+    /// A cell that becomes active has its share at once, and the borrower is back at its own within the recall time.
     #[test]
-    fn what_was_lent_is_taken_back() {
+    fn lent_tokens_are_recalled() {
         let mut shares = Shares::new(100.0, &[0.5, 0.5], 1000.0, 0.0);
-        drawn(&mut shares, 0, 5, 0, 5000);
-        let (mut mine, mut theirs, mut late) = (0, 0, 0);
+        take_all(&mut shares, 0, 5, 0, 5000);
+        let (mut lender, mut borrower, mut lent_late) = (0, 0, 0);
         for t in 5000..8000 {
-            theirs += usize::from(shares.draw(0, f64::from(t)).is_some());
-            mine += usize::from(shares.draw(1, f64::from(t)).is_some());
+            borrower += usize::from(shares.take(0, f64::from(t)).is_some());
+            lender += usize::from(shares.take(1, f64::from(t)).is_some());
             if t >= 6000 {
-                late += usize::from(shares.draw(0, f64::from(t)) == Some(Drawn::Lent));
+                lent_late += usize::from(shares.take(0, f64::from(t)) == Some(TokenSource::Pool));
             }
         }
-        assert!(mine >= 190, "{mine}: a share of 50 a second, and a full bucket");
-        assert!(theirs + late <= 160 && late == 0, "{theirs} {late}");
+        assert!(lender >= 190, "{lender}: a share of 50 per second, and a full bucket");
+        assert!(borrower + lent_late <= 160 && lent_late == 0, "{borrower} {lent_late}");
     }
 
     #[test]
-    fn clocks_that_jump() {
+    fn clock_jumps_give_at_most_one_bucket() {
         let mut shares = Shares::new(100.0, &[1.0], 1000.0, 1e9);
-        assert!(drawn(&mut shares, 0, 1, 0, 200) <= 150, "set back: no more than the bucket");
-        assert!((0..10_000).filter(|_| shares.draw(0, 1e15).is_some()).count() <= 150, "far ahead");
-        assert!((0..10).all(|_| shares.draw(0, f64::NAN).is_none()));
-        assert!(shares.draw(7, 1e15).is_none(), "no such cell");
+        assert!(take_all(&mut shares, 0, 1, 0, 200) <= 150, "set back: at most one bucket");
+        assert!((0..10_000).filter(|_| shares.take(0, 1e15).is_some()).count() <= 150, "far ahead");
+        assert!((0..10).all(|_| shares.take(0, f64::NAN).is_none()));
+        assert!(shares.take(7, 1e15).is_none(), "no such cell");
     }
 }
--- a/core/ratelimit/src/heavy_senders.rs
+++ b/core/ratelimit/src/heavy_senders.rs
@@ -1,31 +1,33 @@
-//! Finds the senders that bring a large part of a stream of datagrams, in constant memory and time for each datagram.
+//! Finds the senders of a large part of a stream of datagrams, in constant memory and constant time per datagram.
 //!
-//! Invariant: whoever brings more than a quarter of the datagrams of a window is among the senders found at its end, and nobody
-//! is found who brought less than an eighth of it. It rests on the algorithm of J. Misra and D. Gries, "Finding repeated
-//! elements", Science of Computer Programming 2 (1982): with `k` counters, a count is too low by at most `n / (k + 1)`.
+//! Invariant: a sender of more than a quarter of the datagrams of a window is reported at its end, and a sender of less
+//! than an eighth is not. This follows from the algorithm of J. Misra and D. Gries, "Finding repeated elements",
+//! Science of Computer Programming 2 (1982): with `k` counters, the count of a sender among `n` datagrams is too low by
+//! at most `n / (k + 1)`.
 
 use std::net::SocketAddr;
 
 use crate::Ms;
 
-/// Datagrams of one window.
+/// Number of datagrams in a window.
 const WINDOW: u32 = 256;
-/// Counters of a window, and so the senders at most that one window can find.
+/// Number of counters, and so the maximum number of senders that one window can report.
 const COUNTERS: usize = 8;
-/// A sender is found from this count on. The lowest count of a sender that brought a quarter of a window is
+/// Lowest count with which a sender is reported. A sender of a quarter of the window has a count of at least
 /// `256 / 4 - 256 / 9 = 35`.
 const HEAVY_COUNT: u32 = WINDOW / 8;
-/// A window that took longer to fill finds nobody: such a stream has room for all. It is 5,120 datagrams a second.
+/// A window that took longer to fill reports no sender: at less than 5,120 datagrams per second there is capacity for
+/// all.
 const MAX_WINDOW_MS: Ms = 50.0;
 
-/// A sender that may be heavy, and a lower bound of what it brought in this window.
+/// A possibly heavy sender, and a lower bound of its datagrams in this window.
 #[derive(Clone, Copy, Debug)]
 struct Candidate {
     sender: SocketAddr,
     count: u32,
 }
 
-/// Watches one stream of datagrams.
+/// Watches one stream of datagrams for heavy senders.
 #[derive(Debug)]
 pub struct HeavySenders {
     candidates: Vec<Candidate>,
@@ -40,8 +42,7 @@
 }
 
 impl HeavySenders {
-    /// Counts a datagram; at the end of a window, the senders that were heavy in it. `now` is in milliseconds of a clock that
-    /// does not go back.
+    /// Counts a datagram. At the end of a window, returns its heavy senders. `now` is of a monotonic clock.
     pub fn observe(&mut self, sender: SocketAddr, now: Ms) -> Vec<SocketAddr> {
         if self.observed == 0 {
             self.started_at = now;
--- a/core/ratelimit/src/lib.rs
+++ b/core/ratelimit/src/lib.rs
@@ -1,52 +1,56 @@
-//! Response rate limiting: how many answers of a kind a client net gets a second.
+//! Response rate limiting: limits how many DNS answers of a kind each client network gets per second.
 //!
-//! A table of fixed size holds a token bucket for each net and kind seen of late. It never grows and never
-//! allocates after its start: a new net takes the place of the one in its set that needs its bucket least, and what
-//! is forgotten was full or nearly so, except under a flood of as many nets as the table has places; then limits
-//! grow slack, they don't spread to others. Source: "DNS Response Rate Limiting", ISC-TN-2012-1.
+//! A table of fixed size holds a token bucket for each recently seen network and kind of answer. It allocates only when
+//! it is created. A new network replaces the bucket in its set that is full again soonest; that bucket was full or
+//! nearly full, except under a flood from as many networks as the table has slots. Then limits become less strict, but
+//! no network is limited because of another. Source: "DNS Response Rate Limiting", ISC-TN-2012-1.
 
 #![expect(missing_docs, reason = "not documented in full yet: see docs/ROADMAP.md")]
 
 pub mod heavy_senders;
 
-/// Milliseconds of any clock that does not go back.
+/// Milliseconds of any monotonic clock.
 pub type Ms = f64;
 
-/// Kinds of answers, each with a bucket of its own.
+/// Kind of a DNS answer; each has a bucket of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// An answer of this name and type: told apart by `what`.
+    /// An answer with records; each name and type has a bucket of its own.
     Answer,
     Referral,
     NoData,
-    /// All names that do not exist share one bucket a net: a flood of random names does not get one each.
+    /// All names that do not exist share one bucket per network, so that a flood of random names does not get a bucket
+    /// each.
     NxDomain,
     Error,
 }
 
-/// What becomes of an answer.
+/// What to do with an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     Send,
-    /// An empty answer with TC set: a client that is there asks again over TCP, a forged address gets no more
-    /// bytes than were sent in its name.
+    /// Send an empty answer with TC set: a real client asks again over TCP, and a victim whose address was forged gets
+    /// no more bytes than the forged query had.
     Slip,
     Drop,
 }
 
+/// Limits per client network, in answers per second; 0 is no limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// Answers a second for a net: of one name and type, of names that do not exist, of errors, and of all kinds
-    /// together. Not above 0: no limit.
+    /// Answers of one name and type.
     pub answers: f64,
+    /// Answers for names that do not exist.
     pub nxdomains: f64,
+    /// Error answers.
     pub errors: f64,
+    /// Answers of all kinds together.
     pub all: f64,
-    /// Seconds' worth that may be used at once.
+    /// Burst, in seconds of the rate.
     pub burst_s: f64,
-    /// Of the answers over the limit each `slip`-th is sent empty with TC; 0 for none.
+    /// Every `slip`-th answer over the limit is sent empty with TC; 0 for none.
     pub slip: u32,
-    /// Places in the table.
+    /// Slots in the table.
     pub places: usize,
 }
 
@@ -65,16 +69,16 @@
 }
 
 impl Limits {
-    /// Whether each figure can be used.
+    /// Checks that each value is within its range.
     pub fn check(&self) -> Result<(), String> {
-        for (name, figure) in [
+        for (name, rate) in [
             ("answers", self.answers),
             ("nxdomains", self.nxdomains),
             ("errors", self.errors),
             ("all", self.all),
         ] {
-            if !(figure.is_finite() && (0.0..=1e6).contains(&figure)) {
-                return Err(format!("{name} is {figure}: 0 (no limit) to 1e6 a second"));
+            if !(rate.is_finite() && (0.0..=1e6).contains(&rate)) {
+                return Err(format!("{name} is {rate}: 0 (no limit) to 1e6 a second"));
             }
         }
         if !(self.burst_s.is_finite() && (0.1..=60.0).contains(&self.burst_s)) {
@@ -97,19 +101,19 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Bucket {
-    /// 0 for a place never used.
+    /// Part of the key's hash; 0 for a slot that was never used.
     tag: u32,
-    /// Answers over the limit since the first.
-    over: u32,
+    /// Number of tokens that were denied.
+    denied: u32,
     /// When the bucket will be full again (the theoretical arrival time of the generic cell rate algorithm).
     full_at: Ms,
 }
 
-/// Places of one set: a net may be in any of them.
+/// Number of slots in a set of the table; a key may be in any slot of its set.
 const SET: usize = 8;
 
-/// Token buckets by key in a table of fixed size: it never grows, and a new key takes the place of the bucket in its set
-/// that is full again soonest.
+/// Token buckets by key in a set-associative table of fixed size. A new key replaces the bucket in its set that is full
+/// again soonest.
 #[derive(Debug)]
 pub struct Buckets {
     seed: u64,
@@ -117,39 +121,42 @@
 }
 
 impl Buckets {
-    /// The seed keeps others from choosing keys that meet in one set.
-    pub fn new(places: usize, seed: u64) -> Buckets {
-        let sets = (places / SET).next_power_of_two().max(1);
+    /// A table of about `slots` slots: the number of sets is rounded up to a power of two. The secret `seed` prevents
+    /// clients from choosing keys that collide in one set.
+    pub fn new(slots: usize, seed: u64) -> Buckets {
+        let sets = (slots / SET).next_power_of_two().max(1);
         Buckets { seed, table: vec![Bucket::default(); sets * SET].into() }
     }
 
-    /// Takes one of a key's tokens, of which there are `rate` a second and `burst_s` seconds' worth at most; where there
-    /// is none, how often that has happened.
+    /// Takes a token of a key, whose bucket gets `rate` tokens per second and holds `burst_s` seconds of them. If there
+    /// is none, returns how many tokens were denied to the key so far.
     pub fn take(&mut self, key: u64, rate: f64, burst_s: f64, now: Ms) -> Result<(), u32> {
-        let each = 1000.0 / rate;
-        let burst = (burst_s * 1000.0).max(each);
+        let token_interval = 1000.0 / rate;
+        let burst_ms = (burst_s * 1000.0).max(token_interval);
         let hash = mix(key ^ self.seed);
         let tag = (hash >> 32) as u32 | 1;
         let sets = self.table.len() / SET;
         let set = &mut self.table[(hash as usize & (sets - 1)) * SET..][..SET];
-        // Its own place, else one never used, else the one that is full again soonest: least is lost with it.
-        let at = set.iter().position(|b| b.tag == tag).unwrap_or_else(|| {
-            let full = |b: &Bucket| if b.tag == 0 { f64::MIN } else { b.full_at };
-            let at = (0..SET).min_by(|a, b| full(&set[*a]).total_cmp(&full(&set[*b]))).unwrap_or(0);
-            set[at] = Bucket { tag, over: 0, full_at: now };
-            at
+        // The key's own slot, else one never used, else the one that is full again soonest, which loses the least
+        // state.
+        let slot = set.iter().position(|b| b.tag == tag).unwrap_or_else(|| {
+            let full_at = |b: &Bucket| if b.tag == 0 { f64::MIN } else { b.full_at };
+            let slot = (0..SET).min_by(|a, b| full_at(&set[*a]).total_cmp(&full_at(&set[*b]))).unwrap_or(0);
+            set[slot] = Bucket { tag, denied: 0, full_at: now };
+            slot
         });
-        let bucket = &mut set[at];
-        let full_at = bucket.full_at.max(now) + each;
-        if full_at - now <= burst + 1e-6 {
+        let bucket = &mut set[slot];
+        let full_at = bucket.full_at.max(now) + token_interval;
+        if full_at - now <= burst_ms + 1e-6 {
             bucket.full_at = full_at;
             return Ok(());
         }
-        bucket.over = bucket.over.wrapping_add(1);
-        Err(bucket.over)
+        bucket.denied = bucket.denied.wrapping_add(1);
+        Err(bucket.denied)
     }
 }
 
+/// Limits the answers to each client network.
 #[derive(Debug)]
 pub struct Limiter {
     limits: Limits,
@@ -157,6 +164,7 @@
     now: Ms,
 }
 
+/// The finalizer of SplitMix64.
 fn mix(x: u64) -> u64 {
     let x = (x ^ (x >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
     let x = (x ^ (x >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
@@ -164,7 +172,7 @@
 }
 
 impl Limiter {
-    /// The seed keeps others from choosing nets that meet in one set.
+    /// The secret `seed` prevents clients from choosing networks that collide in one set.
     pub fn new(limits: Limits, seed: u64) -> Limiter {
         Limiter { limits, buckets: Buckets::new(limits.places, seed), now: 0.0 }
     }
@@ -173,19 +181,19 @@
         &self.limits
     }
 
-    /// What becomes of an answer of this kind to this net (any number that stands for it); `what` tells answers
-    /// of one kind apart.
-    pub fn judge(&mut self, net: u64, kind: Kind, what: u64, now: Ms) -> Verdict {
-        // A clock that is set back stands still: tokens are neither lost nor made.
+    /// Decides on an answer of this kind to a client network, given as any number that identifies it. `content`
+    /// distinguishes answers of the same kind.
+    pub fn check(&mut self, network: u64, kind: Kind, content: u64, now: Ms) -> Verdict {
+        // While the clock is behind the latest time seen, no token is added or lost.
         self.now = self.now.max(now);
-        let own = self.limits.rate(kind);
-        let what = if kind == Kind::NxDomain || kind == Kind::Error { 0 } else { what };
+        let rate = self.limits.rate(kind);
+        let content = if kind == Kind::NxDomain || kind == Kind::Error { 0 } else { content };
         let mut verdict = Verdict::Send;
-        if own > 0.0 {
-            verdict = self.take(mix(net) ^ mix(what ^ (kind as u64) << 56), own);
+        if rate > 0.0 {
+            verdict = self.take(mix(network) ^ mix(content ^ (kind as u64) << 56), rate);
         }
         if verdict == Verdict::Send && self.limits.all > 0.0 {
-            verdict = self.take(mix(net) ^ 0xA11, self.limits.all);
+            verdict = self.take(mix(network) ^ 0xA11, self.limits.all);
         }
         verdict
     }
@@ -193,7 +201,7 @@
     fn take(&mut self, key: u64, rate: f64) -> Verdict {
         match (self.buckets.take(key, rate, self.limits.burst_s, self.now), self.limits.slip) {
             (Ok(()), _) => Verdict::Send,
-            (Err(over), every) if every > 0 && over.is_multiple_of(every) => Verdict::Slip,
+            (Err(denied), slip) if slip > 0 && denied.is_multiple_of(slip) => Verdict::Slip,
             _ => Verdict::Drop,
         }
     }
--- a/dns/src/answer.rs
+++ b/dns/src/answer.rs
@@ -251,7 +251,7 @@
             IpAddr::V4(v4) => u64::from(v4.to_bits() >> 8),
             IpAddr::V6(v6) => (v6.to_bits() >> 72) as u64 | 1 << 63,
         };
-        let verdict = self.limiter.judge(net, kind, u64::from(what), now.steady);
+        let verdict = self.limiter.check(net, kind, u64::from(what), now.steady);
         match verdict {
             Verdict::Send => {}
             Verdict::Slip => count(&self.counts.limited_slipped),
--- a/front/src/edge/cells.rs
+++ b/front/src/edge/cells.rs
@@ -87,10 +87,10 @@
             waiting: l.waiting,
             waiting_of_shop: l.waiting_of_shop,
             tolerance: l.tolerance,
-            fills_per_s: l.fills,
-            recall_ms: l.recall,
+            fills_per_s: l.fills_per_s,
+            recall_ms: l.recall_ms,
             places: l.places,
-            warm_step_ms: l.warm_step,
+            warm_step_ms: l.warm_step_ms,
         }
     }
 }
@@ -150,11 +150,11 @@
             waiting: l.waiting,
             waiting_of_shop: l.waiting_of_shop,
             tolerance: l.tolerance,
-            fills: l.fills_per_s,
-            recall: l.recall_ms,
+            fills_per_s: l.fills_per_s,
+            recall_ms: l.recall_ms,
             places: l.places,
-            warm_step: l.warm_step_ms,
-            longest: longest.max(1.0),
+            warm_step_ms: l.warm_step_ms,
+            max_request_ms: longest.max(1.0),
             ..Limits::default()
         };
         let layout = Layout::new(cells.collect(), rules, limits).map_err(|e| e.to_string())?;
--- a/front/src/engine/admission.rs
+++ b/front/src/engine/admission.rs
@@ -3,7 +3,7 @@
 use std::sync::atomic::Ordering::Relaxed;
 
 use elmtide::{Event, Ms, Outcome, Request, RequestId};
-use elmtide_cells::{Arrival, CellIx, Decision, Ended, Why};
+use elmtide_cells::{Arrival, CellIx, Completion, Decision, RefusalReason};
 
 use super::timers::{Timer, CELL_INTERVAL_MS};
 use super::{priority_if, Engine};
@@ -86,11 +86,11 @@
             return self.dispatch(current, Event::Request(request));
         };
         let object = request.object.0;
-        let decision = cells.cells.arrive(Arrival { id: id.0, shop, object, once, cost: 1.0, deadline }, now);
+        let decision = cells.cells.admit(Arrival { id: id.0, shop, object, once, cost: 1.0, deadline }, now);
         cells.waiting.insert(id, (request, shop));
         match decision {
             Decision::Start { cell, .. } => self.start_in_cell(id, cell),
-            Decision::Refuse { why, wait, .. } => self.reject_by_cell(id, why, wait),
+            Decision::Refuse { reason, retry_after, .. } => self.reject_by_cell(id, reason, retry_after),
             Decision::Wait => {}
         }
         self.apply_cell_decisions();
@@ -101,7 +101,9 @@
         while let Some(decision) = self.cells.as_mut().and_then(|c| c.cells.poll()) {
             match decision {
                 Decision::Start { id, cell } => self.start_in_cell(RequestId(id), cell),
-                Decision::Refuse { id, wait, why } => self.reject_by_cell(RequestId(id), why, wait),
+                Decision::Refuse { id, retry_after, reason } => {
+                    self.reject_by_cell(RequestId(id), reason, retry_after)
+                }
                 Decision::Wait => {}
             }
         }
@@ -121,7 +123,7 @@
     pub(super) fn advance_cells(&mut self) {
         let now = self.now;
         let Some(cells) = &mut self.cells else { return };
-        if cells.cells.pass(now) {
+        if cells.cells.advance(now) {
             for m in cells.cells.moves() {
                 eprintln!("cells: a shop moves from {} to {}: {:?}", m.from.0, m.to.0, m.step);
             }
@@ -159,16 +161,16 @@
         }
     }
 
-    pub(super) fn reject_by_cell(&mut self, id: RequestId, why: Why, wait: Ms) {
+    pub(super) fn reject_by_cell(&mut self, id: RequestId, reason: RefusalReason, retry_after: Ms) {
         if let Some(cells) = &mut self.cells {
             cells.waiting.remove(&id);
         }
-        self.counters.by_cell[why as usize].fetch_add(1, Relaxed);
-        self.reject(id, Some(wait.max(1.0) as u64));
+        self.counters.by_cell[reason as usize].fetch_add(1, Relaxed);
+        self.reject(id, Some(retry_after.max(1.0) as u64));
     }
 
     /// A request has had its final answer: nothing more of it is sent on, and its place in the cell is free.
-    pub(super) fn release_admission(&mut self, id: RequestId, ended: Ended) {
+    pub(super) fn release_admission(&mut self, id: RequestId, ended: Completion) {
         let now = self.now;
         // Also where the settings allow no calling off: this is none, since the node never hears of it.
         let upstream = &mut self.upstream;
@@ -191,7 +193,7 @@
         if exchange.abandon() {
             self.counters.abandoned.fetch_add(1, Relaxed);
         }
-        self.release_admission(id, Ended::Left);
+        self.release_admission(id, Completion::Abandoned);
         self.notify_expired(id);
         self.exchanges.settle(id);
     }
@@ -223,7 +225,7 @@
         let wait_ms = self.retry_after(id);
         self.exchanges.answer(id, Answer::Refused { wait_ms });
         self.counters.refused.fetch_add(1, Relaxed);
-        self.release_admission(id, Ended::Lost);
+        self.release_admission(id, Completion::Failed);
         self.notify_expired(id);
         self.exchanges.settle(id);
     }
@@ -232,7 +234,7 @@
         if self.exchanges.answer(id, Answer::Failed) {
             eprintln!("request {} was still open past its deadline: failed", id.0);
             self.counters.failed.fetch_add(1, Relaxed);
-            self.release_admission(id, Ended::Lost);
+            self.release_admission(id, Completion::Failed);
             self.notify_expired(id);
             self.exchanges.settle(id);
         }
--- a/front/src/engine/attempts.rs
+++ b/front/src/engine/attempts.rs
@@ -3,7 +3,7 @@
 use std::sync::atomic::Ordering::Relaxed;
 
 use elmtide::{Action, Event, MemberId, Ms, Note, Outcome, Repeat, RequestId};
-use elmtide_cells::Ended;
+use elmtide_cells::Completion;
 
 use super::budget_client::RETRIES;
 use super::timers::Timer;
@@ -93,14 +93,14 @@
                 let wait_ms = retry_after.map(|ms| ms.max(0.0) as u64);
                 tracing::debug!(request = id.0, wait_ms, "request: rejected by the router");
                 self.reject(id, wait_ms);
-                self.release_admission(id, Ended::Lost);
+                self.release_admission(id, Completion::Failed);
             }
             Action::Fail { id } => {
                 tracing::debug!(request = id.0, "request: failed by the router");
                 if self.exchanges.answer(id, Answer::Failed) {
                     self.counters.failed.fetch_add(1, Relaxed);
                 }
-                self.release_admission(id, Ended::Lost);
+                self.release_admission(id, Completion::Failed);
             }
             Action::SetTimer { delay, token } => {
                 self.timers.schedule(self.now + delay.max(0.0), Timer::Router(router, token.0));
@@ -265,7 +265,7 @@
         }
         self.dispatch(router, Event::Reply { id, attempt, outcome, latency, settled, note });
         if served {
-            self.release_admission(id, Ended::Served);
+            self.release_admission(id, Completion::Served);
         }
         self.exchanges.settle(id);
     }
@@ -278,7 +278,7 @@
             return;
         };
         if let Some(cell) = cells.cell(router) {
-            cells.cells.filled(cell, now);
+            cells.cells.record_fill(cell, now);
         }
     }
 
--- a/front/src/engine/cells.rs
+++ b/front/src/engine/cells.rs
@@ -137,8 +137,8 @@
                 lists.iter_mut().for_each(|(_, list)| list.push(*listing));
                 continue;
             }
-            let by_address = || layout.cell_of_box(&addr.as_ref()?.to_string());
-            let Some(cell) = layout.cell_of_box(&name).or_else(by_address) else { continue };
+            let by_address = || layout.cell_of_node(&addr.as_ref()?.to_string());
+            let Some(cell) = layout.cell_of_node(&name).or_else(by_address) else { continue };
             let boxes = &layout.cells()[usize::from(cell.0)].boxes;
             let addr = addr.map(|a| a.to_string());
             let place = boxes.iter().position(|b| **b == *name || Some(b) == addr.as_ref());
--- a/front/src/engine/drain.rs
+++ b/front/src/engine/drain.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::Ordering::Relaxed;
 
 use elmtide::{Ms, Repeat, RequestId};
-use elmtide_cells::Ended;
+use elmtide_cells::Completion;
 use elmtide_drain::Admission;
 
 use super::admission::Rejection;
@@ -74,7 +74,7 @@
             count.fetch_add(1, Relaxed);
             self.counters.drain_cut_off.fetch_add(1, Relaxed);
         }
-        self.release_admission(id, Ended::Lost);
+        self.release_admission(id, Completion::Failed);
         self.notify_expired(id);
         self.exchanges.settle(id);
     }
--- a/front/src/engine/endpoints.rs
+++ b/front/src/engine/endpoints.rs
@@ -112,7 +112,7 @@
         }
         if let Some(cells) = &mut self.cells {
             for (place, ready) in ready.into_iter().enumerate() {
-                cells.cells.boxes(CellIx(place as u16), ready, now);
+                cells.cells.set_ready_nodes(CellIx(place as u16), ready, now);
             }
         }
         self.apply_cell_decisions();
--- a/front/src/engine/reconfigure.rs
+++ b/front/src/engine/reconfigure.rs
@@ -81,7 +81,7 @@
         let told = format!("cells: {} are in force: {}", names.len(), names.join(", "));
         let (seed, now) = (self.seed, self.now);
         let relaid = match &mut self.cells {
-            Some(cells) => cells.cells.relayout(*layout, now),
+            Some(cells) => cells.cells.apply_layout(*layout, now),
             None => {
                 self.cells = Some(Box::new(CellRouting::new(
                     *layout,
@@ -116,7 +116,7 @@
     /// Takes a tenant's move between cells back.
     pub(super) fn undo_move(&mut self, shop: ShopId) {
         let now = self.now;
-        if self.cells.as_mut().is_some_and(|cells| cells.cells.undo(shop, now)) {
+        if self.cells.as_mut().is_some_and(|cells| cells.cells.undo_move(shop, now)) {
             eprintln!("cells: a move is undone");
         }
     }
--- a/front/src/engine/tests.rs
+++ b/front/src/engine/tests.rs
@@ -502,12 +502,12 @@
         let boxes = vec!["s-1".into(), "s-2".into()];
         let cell =
             elmtide_cells::Cell { name: "a".into(), boxes, weight: 1.0, source_share: 1.0, evacuate: false };
-        let limits = elmtide_cells::Limits { fills: 1e-9, ..Default::default() };
+        let limits = elmtide_cells::Limits { fills_per_s: 1e-9, ..Default::default() };
         let layout = Layout::new(vec![cell], Vec::new(), limits).unwrap();
         engine.handle(Input::Cells(Some(Box::new(layout))));
         let now = engine.now;
         let cells = &mut engine.cells.as_mut().unwrap().cells;
-        (0..100).for_each(|_| cells.filled(elmtide_cells::CellIx(0), now));
+        (0..100).for_each(|_| cells.record_fill(elmtide_cells::CellIx(0), now));
         let Input::Taken(mut incoming) = request(1, 60_000.0, &answers) else { panic!("a request") };
         if let Some(passed) = Arc::get_mut(&mut incoming.passed) {
             (passed.once, passed.write) = (repeat == Repeat::Unsafe, write);
@@ -540,7 +540,7 @@
         running: (1.0, 1.0, 1.0),
         waiting: 2000,
         waiting_of_shop: 2000,
-        longest: 60_000.0,
+        max_request_ms: 60_000.0,
         ..Default::default()
     };
     engine.handle(Input::Cells(Some(Box::new(Layout::new(vec![cell], Vec::new(), limits).unwrap()))));
--- a/front/src/memory/counters.rs
+++ b/front/src/memory/counters.rs
@@ -107,7 +107,7 @@
         for (name, value) in named.into_iter().chain(OUTCOMES.into_iter().zip(&self.outcomes)) {
             write!(f, " {name}={}", value.load(Relaxed))?;
         }
-        for (why, value) in elmtide_cells::Why::ALL.into_iter().zip(&self.by_cell) {
+        for (why, value) in elmtide_cells::RefusalReason::ALL.into_iter().zip(&self.by_cell) {
             write!(f, " cell_{}={}", why.name(), value.load(Relaxed))?;
         }
         for (name, value) in self.dns.get().into_iter().flat_map(|dns| dns.named()) {
--- a/lab/src/cells.rs
+++ b/lab/src/cells.rs
@@ -12,7 +12,7 @@
     PurgeGroup, RequestId, Router, Settings, ZoneId,
 };
 use elmtide_cells::layout::{blast_radius, shard};
-use elmtide_cells::{Arrival, Cells, Ended, Layout, Limits, ShopId};
+use elmtide_cells::{Arrival, Cells, Completion, Layout, Limits, ShopId};
 use elmtide_standins::bus::{listed, Bus};
 use elmtide_standins::front::{Front, Setup};
 use elmtide_standins::node::{Behaviour, Node, Origin};
@@ -273,7 +273,7 @@
         if let Some(cells) = &mut cells {
             let shop = shops[id as usize % shops.len()];
             let arrival = Arrival { id, shop, object, once: false, cost: 1.0, deadline: now + 900.0 };
-            std::hint::black_box(cells.arrive(arrival, now));
+            std::hint::black_box(cells.admit(arrival, now));
         }
         let request = elmtide::Request {
             id: RequestId(id),
@@ -297,7 +297,7 @@
         router.handle(now + 0.05, reply, &mut actions);
         actions.clear();
         if let Some(cells) = &mut cells {
-            cells.end(id, Ended::Served, now + 0.05);
+            cells.end(id, Completion::Served, now + 0.05);
         }
     }
     since.elapsed().as_secs_f64() * 1e9 / f64::from(times)
@@ -326,7 +326,7 @@
             continue;
         };
         let mut cells = Cells::new(layout, 1, 0.0);
-        (0..count).for_each(|n| cells.boxes(elmtide_cells::CellIx(n as u16), 1, 0.0));
+        (0..count).for_each(|n| cells.set_ready_nodes(elmtide_cells::CellIx(n as u16), 1, 0.0));
         let bytes = region.change().bytes_allocated;
         // Each router with ten caches in its list, and no object seen yet.
         let region = stats_alloc::Region::new(crate::COUNTED);
--- a/rules/tests/cells.rs
+++ b/rules/tests/cells.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 
 use elmtide::*;
-use elmtide_cells::{Arrival, Cell, CellIx, Cells, Decision, Ended, Layout, Limits, ShopId, ShopRule};
+use elmtide_cells::{Arrival, Cell, CellIx, Cells, Completion, Decision, Layout, Limits, ShopId, ShopRule};
 use elmtide_rules::{Rule, Rules, Seen};
 use proptest::prelude::*;
 
@@ -56,7 +56,7 @@
         rate: None,
         worth: 1.0,
     };
-    let limits = Limits { warm_step: 300.0, longest: DEADLINE, ..Limits::default() };
+    let limits = Limits { warm_step_ms: 300.0, max_request_ms: DEADLINE, ..Limits::default() };
     Layout::new((0..3).map(cell).collect(), shops.iter().enumerate().map(rule).collect(), limits).unwrap()
 }
 
@@ -141,7 +141,7 @@
                 .filter(|l| l.kind == KindId(0) && l.availability == Availability::Ready)
                 .count();
             self.tell(cell as usize, Event::List { news: ListNews::Full, entries });
-            self.cells.boxes(CellIx(cell as u16), ready, self.now);
+            self.cells.set_ready_nodes(CellIx(cell as u16), ready, self.now);
         }
         self.decided();
     }
@@ -198,7 +198,7 @@
         let copy = (served && !open.once).then_some((open.object, open.dated));
         self.rules.see(now, Seen::Answered { request: u64::from(id), copy });
         self.waiting.remove(&id);
-        self.cells.end(id, if served { Ended::Served } else { Ended::Lost }, now);
+        self.cells.end(id, if served { Completion::Served } else { Completion::Failed }, now);
         self.decided();
     }
 
@@ -246,7 +246,7 @@
         self.at(deadline, Due::Deadline { id });
         let shop = ShopId::of(&format!("s{shop}"));
         let arrival = Arrival { id, shop, object, once, cost: 1.0, deadline };
-        let decision = self.cells.arrive(arrival, self.now);
+        let decision = self.cells.admit(arrival, self.now);
         self.decide(decision);
         self.decided();
     }
@@ -292,7 +292,7 @@
             }
         }
         self.now = self.now.max(until);
-        self.cells.pass(self.now);
+        self.cells.advance(self.now);
         self.decided();
     }
 }
@@ -344,10 +344,10 @@
             }
             3 => {
                 shops[usize::from(shop)] = (object % 3) as u16;
-                world.cells.relayout(layout(&shops), now).unwrap();
+                world.cells.apply_layout(layout(&shops), now).unwrap();
                 world.list();
             }
-            4 => drop(world.cells.undo(ShopId::of(&format!("s{shop}")), now)),
+            4 => drop(world.cells.undo_move(ShopId::of(&format!("s{shop}")), now)),
             _ => world.ask(n as u32, shop, object, kind < 10),
         }
     }
