--- a/benchlink/src/wire.rs
+++ b/benchlink/src/wire.rs
@@ -97,7 +97,7 @@
     fn listing(&mut self) -> Result<Listing, String> {
         let weight = self.f32()?;
         let zone = ZoneId(self.u8()?);
-        let born = self.f64()?;
+        let started_at = self.f64()?;
         let kind = KindId(self.u16()?);
         let availability = match self.u8()? {
             0 => Availability::Draining,
@@ -107,7 +107,15 @@
         };
         let member = self.member()?;
         let cell = CellId(self.u16()?);
-        Ok(Listing { member, weight, zone, kind, cell, born: (born != 0.0).then_some(born), availability })
+        Ok(Listing {
+            member,
+            weight,
+            zone,
+            kind,
+            cell,
+            started_at: (started_at != 0.0).then_some(started_at),
+            availability,
+        })
     }
 }
 
@@ -166,12 +174,12 @@
                 return Ok(instance);
             }
             19 => {
-                let news = match r.u8()? {
-                    0 => ListNews::Delta,
-                    1 => ListNews::Full,
-                    2 => ListNews::Cached,
-                    3 => ListNews::Failed,
-                    other => return Err(format!("unknown list news {other}")),
+                let update = match r.u8()? {
+                    0 => ListUpdate::Delta,
+                    1 => ListUpdate::Full,
+                    2 => ListUpdate::Cached,
+                    3 => ListUpdate::Failed,
+                    other => return Err(format!("unknown list update {other}")),
                 };
                 r.u32()?;
                 let count = r.u32()?;
@@ -179,7 +187,7 @@
                 for _ in 0..count {
                     entries.push(r.listing()?);
                 }
-                Event::List { news, entries }
+                Event::List { update, entries }
             }
             20 => {
                 r.u32()?;
@@ -224,13 +232,13 @@
                 let class = ClassId(r.u16()?);
                 r.u16()?;
                 let object = ObjectId(r.u64()?);
-                let left = r.f64()?;
+                let time_left = r.f64()?;
                 let size = r.f32()?;
                 let group = PurgeGroup(r.f32()? as u16);
                 let part = r.f32()? as u32;
                 let write = r.u16()? & 4 != 0;
                 let size_kb = (size > 0.0).then_some(size);
-                Event::Request(Request { id, class, object, part, group, left, size_kb, write })
+                Event::Request(Request { id, class, object, part, group, time_left, size_kb, write })
             }
             other => return Err(format!("unknown event code {other}")),
         };
--- a/front/src/client/bus.rs
+++ b/front/src/client/bus.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use crossbeam_channel::Sender;
-use elmtide::{Availability, CellId, Event, KindId, ListNews, Listing, ObjectId, PurgeGroup, ZoneId};
+use elmtide::{Availability, CellId, Event, KindId, ListUpdate, Listing, ObjectId, PurgeGroup, ZoneId};
 
 use crate::client::start_times::StartTimes;
 use crate::exchange::{Input, ListSource, MemberNews, MembersNews};
@@ -61,12 +61,12 @@
             State::Left => Availability::Gone,
         };
         let member = member_id(&server.id);
-        let born = (server.started_ms > 0.0).then_some(server.started_ms);
+        let started_at = (server.started_ms > 0.0).then_some(server.started_ms);
         let (weight, cell) = (server.weight, CellId(server.cell));
-        let listing = Listing { member, weight, zone, kind, cell, born, availability };
+        let listing = Listing { member, weight, zone, kind, cell, started_at, availability };
         let gone = availability == Availability::Gone;
         let addr = server.addr.parse().ok();
-        Ok((listing, MemberNews { member, name: server.id.as_str().into(), addr, born, gone }))
+        Ok((listing, MemberNews { member, name: server.id.as_str().into(), addr, started_at, gone }))
     }
 
     /// What an event of the bus means to the engine.
@@ -89,8 +89,8 @@
                         Err(why) => eprintln!("bus: {} is left out: {why}", server.id),
                     }
                 }
-                let news = if *full { ListNews::Full } else { ListNews::Delta };
-                let event = Event::List { news, entries };
+                let update = if *full { ListUpdate::Full } else { ListUpdate::Delta };
+                let event = Event::List { update, entries };
                 let news = MembersNews { full: *full, members };
                 Input::Listed { from: ListSource::Bus, news, event }
             }
--- a/front/src/client/pool.rs
+++ b/front/src/client/pool.rs
@@ -51,7 +51,7 @@
 pub struct Pool {
     limits: Limits,
     members: Members,
-    born: BTreeMap<MemberId, Option<Ms>>,
+    started_at: BTreeMap<MemberId, Option<Ms>>,
     connections: BTreeMap<MemberId, Vec<Arc<Connection>>>,
     out: HashMap<AttemptKey, (Arc<Connection>, Token)>,
     probes: u64,
@@ -65,7 +65,7 @@
         Pool {
             limits,
             members: Members::default(),
-            born: BTreeMap::new(),
+            started_at: BTreeMap::new(),
             connections: BTreeMap::new(),
             out: HashMap::new(),
             probes: 0,
@@ -222,10 +222,10 @@
         }
         for member in &news.members {
             let before = self.members.get(member.member).map(|m| m.addr);
-            let born = self.born.insert(member.member, member.born);
+            let started_at = self.started_at.insert(member.member, member.started_at);
             // A new process or address: what is open leads to the one before.
             let other = before.is_some_and(|addr| addr != member.addr)
-                || born.is_some_and(|born| born != member.born);
+                || started_at.is_some_and(|started_at| started_at != member.started_at);
             if other || member.gone {
                 self.connections.get(&member.member).into_iter().flatten().for_each(|c| c.retire());
             }
@@ -243,7 +243,7 @@
         let connections = &self.connections;
         self.members.retain(|id, gone| !gone || connections.contains_key(id));
         let members = &self.members;
-        self.born.retain(|id, _| members.get(*id).is_some());
+        self.started_at.retain(|id, _| members.get(*id).is_some());
     }
 }
 
--- a/front/src/client/start_times.rs
+++ b/front/src/client/start_times.rs
@@ -5,7 +5,7 @@
 
 use std::collections::BTreeMap;
 
-use elmtide::{Availability, Event, ListNews, Listing, MemberId, Ms};
+use elmtide::{Availability, Event, ListUpdate, Listing, MemberId, Ms};
 
 /// A start as a list has stamped it with Unix time, and where that lies on this process's line.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -21,11 +21,12 @@
 impl StartTimes {
     /// Puts the stamps of a list event on this process's line; `place` does so for one that has not been seen before.
     pub fn place(&mut self, event: &mut Event, place: impl Fn(Ms) -> Ms) {
-        let Event::List { news, entries } = event else { return };
+        let Event::List { update, entries } = event else { return };
         for listing in entries.iter_mut() {
-            listing.born = listing.born.map(|stamped| self.placed(listing.member, stamped, &place));
+            listing.started_at =
+                listing.started_at.map(|stamped| self.placed(listing.member, stamped, &place));
         }
-        self.forget_absent(*news, entries);
+        self.forget_absent(*update, entries);
     }
 
     fn placed(&mut self, member: MemberId, stamped: Ms, place: impl Fn(Ms) -> Ms) -> Ms {
@@ -35,11 +36,11 @@
         start.placed
     }
 
-    fn forget_absent(&mut self, news: ListNews, entries: &[Listing]) {
+    fn forget_absent(&mut self, update: ListUpdate, entries: &[Listing]) {
         for gone in entries.iter().filter(|listing| listing.availability == Availability::Gone) {
             self.0.remove(&gone.member);
         }
-        if news == ListNews::Full {
+        if update == ListUpdate::Full {
             self.0.retain(|member, _| entries.iter().any(|listing| listing.member == *member));
         }
     }
--- a/front/src/engine/admission.rs
+++ b/front/src/engine/admission.rs
@@ -44,7 +44,7 @@
     pub(super) fn admit(&mut self, incoming: Incoming) {
         self.counters.taken.fetch_add(1, Relaxed);
         let Some(incoming) = self.admit_in_drain(incoming) else { return };
-        let left = incoming.deadline - self.now;
+        let time_left = incoming.deadline - self.now;
         if self.exchanges.is_full() {
             return self.reject_on_arrival(incoming, Rejection::TooManyOpen);
         }
@@ -54,7 +54,7 @@
             object: incoming.object,
             part: incoming.part,
             group: incoming.group,
-            left,
+            time_left,
             size_kb: incoming.size_kb,
             write: false, // the class tells
         };
@@ -63,7 +63,7 @@
         if self.budgets.as_mut().is_some_and(|b| !b.admit_shop_request(request.id, shop, priority)) {
             return self.reject_on_arrival(incoming, Rejection::ShopBudget);
         }
-        let pace = self.settings.pace;
+        let pace = self.settings.transfer_kb_per_s;
         let work = incoming.size_kb.zip(pace).map(|(kb, pace)| kb / pace * 1000.0);
         if let Err(incoming) = self.exchanges.open(incoming) {
             self.counters.failed.fetch_add(1, Relaxed);
@@ -76,7 +76,7 @@
             exchange.work = work;
         }
         self.timers.schedule(deadline + DEADLINE_BACKSTOP_MS, Timer::Deadline(request.id.0));
-        self.timers.schedule(self.now + left * UNSENT_DEADLINE_FRACTION, Timer::Unsent(request.id.0));
+        self.timers.schedule(self.now + time_left * UNSENT_DEADLINE_FRACTION, Timer::Unsent(request.id.0));
         let (now, id) = (self.now, request.id);
         let Some(cells) = &mut self.cells else {
             let current = self.current;
@@ -116,7 +116,7 @@
         let router = cells.router(cell, shop);
         let Some(exchange) = self.exchanges.get_mut(id) else { return };
         exchange.router = router;
-        request.left = exchange.deadline - self.now;
+        request.time_left = exchange.deadline - self.now;
         self.dispatch(router, Event::Request(request));
     }
 
--- a/front/src/engine/attempts.rs
+++ b/front/src/engine/attempts.rs
@@ -57,9 +57,9 @@
             return self.routers[router].handle(self.now, event, actions);
         };
         let lent = budgets.available(RETRIES).floor();
-        self.routers[router].lend(lent);
+        self.routers[router].lend_retries(lent);
         self.routers[router].handle(self.now, event, actions);
-        let used = lent - self.routers[router].lend(0.0);
+        let used = lent - self.routers[router].lend_retries(0.0);
         if used <= 0.0 && lent >= 1.0 {
             return;
         }
--- a/front/src/engine/budget_client.rs
+++ b/front/src/engine/budget_client.rs
@@ -54,30 +54,30 @@
     fn of_caches(settings: &Settings) -> SlowStartRule {
         SlowStartRule {
             kind: BudgetKind::SlowStartCache,
-            span: settings.cold_span,
-            fall_multiple: settings.fall_multiple,
-            initial_fraction: settings.cold_from,
+            span: settings.cold_duration,
+            fall_multiple: settings.overload_factor,
+            initial_fraction: settings.cold_fraction,
         }
     }
 
     fn of_parents(settings: &Settings) -> SlowStartRule {
         SlowStartRule {
             kind: BudgetKind::SlowStartParent,
-            span: settings.parent_cold_span,
-            fall_multiple: settings.parent_fall_multiple,
-            initial_fraction: settings.parent_cold_from,
+            span: settings.parent_cold_duration,
+            fall_multiple: settings.parent_overload_factor,
+            initial_fraction: settings.parent_cold_fraction,
         }
     }
 
     /// How far a server has come, from 0 to 1; `None` where that is not known.
     fn progress(&self, listing: &Listing, unix_ms: Ms) -> Option<f64> {
-        let (born, span) = listing.born.zip(self.span)?;
-        Some(((unix_ms - born) / span).clamp(0.0, 1.0))
+        let (started_at, span) = listing.started_at.zip(self.span)?;
+        Some(((unix_ms - started_at) / span).clamp(0.0, 1.0))
     }
 
     fn is_in_slow_start(&self, listing: &Listing, unix_ms: Ms) -> bool {
-        let Some((born, span)) = listing.born.zip(self.span) else { return false };
-        (0.0..span).contains(&(unix_ms - born))
+        let Some((started_at, span)) = listing.started_at.zip(self.span) else { return false };
+        (0.0..span).contains(&(unix_ms - started_at))
     }
 
     /// What a server in slow start bears by now: the total that demands are fractions of. `None` without the settings' window.
@@ -323,7 +323,7 @@
             if !self.kinds.contains(&rule.kind) || !rule.is_in_slow_start(listing, unix_ms) {
                 continue;
             }
-            let Some(limit) = rule.limit(listing, settings.fall_span, unix_ms) else { continue };
+            let Some(limit) = rule.limit(listing, settings.overload_window, unix_ms) else { continue };
             let budget = BudgetId { kind: rule.kind, resource: listing.member.0 };
             self.ledger.configure_budget(budget, limit, self.now);
             servers.insert(listing.member, SlowStartServer { budget, work_fraction: weight });
--- a/front/src/engine/cells.rs
+++ b/front/src/engine/cells.rs
@@ -3,7 +3,7 @@
 
 use std::collections::HashMap;
 
-use elmtide::{Availability, Event, ListNews, Listing, Ms, Request, RequestId, Settings};
+use elmtide::{Availability, Event, ListUpdate, Listing, Ms, Request, RequestId, Settings};
 use elmtide_cells::{CellIx, Cells, Layout, ShopId};
 
 use super::endpoint_set::{Endpoint, EndpointSet};
@@ -44,7 +44,7 @@
     }
     own.zone_fronts[zone] = own.zone_fronts[zone].max(1) * sharing as u32;
     // The link into this location is common to all cells too.
-    if let Some(link) = own.zone_links.get_mut(zone) {
+    if let Some(link) = own.zone_link_kb_per_s.get_mut(zone) {
         *link *= sharing as f64 / more;
     }
     own
@@ -157,5 +157,5 @@
 
 /// A whole list for a router.
 pub fn whole(entries: Vec<Listing>) -> Event {
-    Event::List { news: ListNews::Full, entries }
+    Event::List { update: ListUpdate::Full, entries }
 }
--- a/front/src/engine/drain/tests.rs
+++ b/front/src/engine/drain/tests.rs
@@ -5,7 +5,7 @@
 
 use crossbeam_channel::{unbounded, Receiver};
 use elmtide::{
-    Availability, ClassId, ClassSettings, Event, KindId, ListNews, Listing, MemberId, Ms, ObjectId,
+    Availability, ClassId, ClassSettings, Event, KindId, ListUpdate, Listing, MemberId, Ms, ObjectId,
     PurgeGroup, Repeat, RequestId, Settings,
 };
 use elmtide_cells::ShopId;
@@ -65,8 +65,12 @@
 impl Scene {
     /// An engine with one class of this kind and one node.
     fn start(repeat: Repeat, writes: bool) -> Scene {
-        let class =
-            ClassSettings { aim: 100.0, deadline: LONG_DEADLINE_MS, repeat, ..ClassSettings::default() };
+        let class = ClassSettings {
+            target_latency: 100.0,
+            deadline: LONG_DEADLINE_MS,
+            repeat,
+            ..ClassSettings::default()
+        };
         let settings = Settings {
             classes: vec![class],
             cancel: true,
@@ -85,10 +89,10 @@
             zone: Default::default(),
             kind: WRITE_KIND,
             cell: Default::default(),
-            born: None,
+            started_at: None,
             availability: Availability::Ready,
         };
-        let event = Event::List { news: ListNews::Full, entries: vec![listing] };
+        let event = Event::List { update: ListUpdate::Full, entries: vec![listing] };
         engine.handle(Input::Listed { from: ListSource::Bus, news: MembersNews::default(), event });
         Scene { engine, counters, given_up, next: 1 }
     }
--- a/front/src/engine/endpoint_set.rs
+++ b/front/src/engine/endpoint_set.rs
@@ -70,11 +70,11 @@
     /// A list event with the servers under maintenance draining.
     pub fn effective_event(&self, event: Event) -> Event {
         match event {
-            Event::List { news, mut entries } if !self.under_maintenance.is_empty() => {
+            Event::List { update, mut entries } if !self.under_maintenance.is_empty() => {
                 for entry in &mut entries {
                     *entry = self.effective(entry);
                 }
-                Event::List { news, entries }
+                Event::List { update, entries }
             }
             event => event,
         }
--- a/front/src/engine/endpoints.rs
+++ b/front/src/engine/endpoints.rs
@@ -2,7 +2,7 @@
 
 use std::sync::atomic::Ordering::Relaxed;
 
-use elmtide::{Event, ListNews, Ms, ObjectId, Outcome, PurgeGroup};
+use elmtide::{Event, ListUpdate, Ms, ObjectId, Outcome, PurgeGroup};
 use elmtide_cells::CellIx;
 
 use super::{cells, Engine, MAX_REMEMBERED_PURGES};
@@ -87,7 +87,7 @@
             return;
         }
         match self.cells {
-            None => self.dispatch_to_all(&Event::List { news: ListNews::Delta, entries }),
+            None => self.dispatch_to_all(&Event::List { update: ListUpdate::Delta, entries }),
             Some(_) => self.update_cell_endpoints(),
         }
     }
--- a/front/src/engine/fleet_report.rs
+++ b/front/src/engine/fleet_report.rs
@@ -60,8 +60,8 @@
         let cold = |l: &Listing| {
             let ours =
                 l.zone == set.zone && Some(l.kind) != set.parent_kind && Some(l.kind) != set.origin_kind;
-            let span = set.cold_span.filter(|span| *span > 0.0);
-            ours && l.born.zip(span).is_some_and(|(born, span)| now - born < span)
+            let span = set.cold_duration.filter(|span| *span > 0.0);
+            ours && l.started_at.zip(span).is_some_and(|(started_at, span)| now - started_at < span)
         };
         let warm = !self.endpoints.all_listings().iter().any(cold);
         budgets.report(said, warm);
@@ -72,7 +72,7 @@
         let Some(budgets) = &mut self.budgets else { return };
         let listed = self.endpoints.present_listings();
         for share in budgets.update_slow_start(&listed, &self.settings, self.now) {
-            self.routers.iter_mut().for_each(|r| r.divide(share.member, share.fronts));
+            self.routers.iter_mut().for_each(|r| r.divide_cold_budget(share.member, share.fronts));
         }
     }
 }
--- a/front/src/engine/maintenance_client.rs
+++ b/front/src/engine/maintenance_client.rs
@@ -73,7 +73,7 @@
         for member in news.members.iter().filter(|m| !m.gone) {
             let machine = self.viewer.machine_at(&member.name, member.addr);
             self.members.insert(member.member, machine);
-            self.stamped_starts.insert(member.member, member.born);
+            self.stamped_starts.insert(member.member, member.started_at);
         }
         while self.members.len() > MOST {
             self.members.pop_first();
@@ -174,8 +174,11 @@
                 Availability::Ready if failing(listing.member) => ObservedState::Failing,
                 Availability::Ready => ObservedState::Ready,
             };
-            let span = if parent { set.parent_cold_span } else { set.cold_span };
-            let age = listing.born.zip(span.filter(|s| *s > 0.0)).map(|(born, span)| (now - born) / span);
+            let span = if parent { set.parent_cold_duration } else { set.cold_duration };
+            let age = listing
+                .started_at
+                .zip(span.filter(|s| *s > 0.0))
+                .map(|(started_at, span)| (now - started_at) / span);
             let sight = MachineObservation {
                 state: looks,
                 // As it was stamped: all fronts have to name one start alike.
--- a/front/src/engine/tests.rs
+++ b/front/src/engine/tests.rs
@@ -5,7 +5,7 @@
 
 use crossbeam_channel::{bounded, unbounded};
 use elmtide::{
-    Availability, ClassId, ClassSettings, ListNews, Listing, MemberId, ObjectId, PurgeGroup, Repeat,
+    Availability, ClassId, ClassSettings, ListUpdate, Listing, MemberId, ObjectId, PurgeGroup, Repeat,
     RequestId,
 };
 use elmtide_cells::Layout;
@@ -44,15 +44,15 @@
 
 /// The answer to a request of 400 ms, and after how much of them it came.
 fn asked(written: bool, seed: u64) -> (Answer, Ms) {
-    let class = ClassSettings { aim: 100.0, deadline: 400.0, ..ClassSettings::default() };
+    let class = ClassSettings { target_latency: 100.0, deadline: 400.0, ..ClassSettings::default() };
     let settings = Settings { classes: vec![class], cancel: true, ..Settings::default() };
     let settings = Settings { retry_after: true, max_retry_after: Some(500.0), ..settings };
     let (inputs, events) = unbounded();
     let member = MemberId(1);
     let (weight, zone, kind) = (1.0, Default::default(), Default::default());
-    let (cell, born, availability) = (Default::default(), None, Availability::Ready);
-    let listing = Listing { member, weight, zone, kind, cell, born, availability };
-    let event = Event::List { news: ListNews::Full, entries: vec![listing] };
+    let (cell, started_at, availability) = (Default::default(), None, Availability::Ready);
+    let listing = Listing { member, weight, zone, kind, cell, started_at, availability };
+    let event = Event::List { update: ListUpdate::Full, entries: vec![listing] };
     inputs.send(Input::Listed { from: ListSource::Bus, news: MembersNews::default(), event }).unwrap();
     let (to, answer) = bounded(1);
     let to = Mutex::new(to);
@@ -117,7 +117,7 @@
 /// requests to a router of its own while the one before keeps its open requests.
 #[test]
 fn a_reload_keeps_the_ids_of_unchanged_classes_and_routes_new_requests_anew() {
-    let rules = |deadline| ClassSettings { aim: 100.0, deadline, ..ClassSettings::default() };
+    let rules = |deadline| ClassSettings { target_latency: 100.0, deadline, ..ClassSettings::default() };
     let settings = Settings { classes: vec![rules(400.0)], max_attempts: Some(4), ..Settings::default() };
     let engine = Engine::new(settings, 1, Silent(true), Arc::default());
     let mut engine = engine.with_class_names(vec!["a".into()]);
@@ -184,19 +184,24 @@
 /// A router built at a reload is told the purges before it: it asks for no copy older than the purge.
 #[test]
 fn a_router_built_at_a_reload_knows_the_purges_before_it() {
-    let class = ClassSettings { aim: 100.0, deadline: 2000.0, ..ClassSettings::default() };
+    let class = ClassSettings { target_latency: 100.0, deadline: 2000.0, ..ClassSettings::default() };
     let origin = Some(elmtide::KindId(2));
     let settings = Settings { classes: vec![class], origin_kind: origin, ..Settings::default() };
     let sent = Arc::new(Mutex::new(Vec::new()));
     let engine = Engine::new(settings.clone(), 1, Recording(sent.clone()), Arc::default());
     let mut engine = engine.with_class_names(vec!["a".into()]);
     let (member, weight, zone, kind) = (MemberId(1), 1.0, Default::default(), Default::default());
-    let (cell, born, availability) = (Default::default(), None, Availability::Ready);
-    let listing = Listing { member, weight, zone, kind, cell, born, availability };
+    let (cell, started_at, availability) = (Default::default(), None, Availability::Ready);
+    let listing = Listing { member, weight, zone, kind, cell, started_at, availability };
     let source = Listing { member: MemberId(2), kind: elmtide::KindId(2), ..listing };
-    let event = Event::List { news: ListNews::Full, entries: vec![listing, source] };
-    let named =
-        |member, name: &str| MemberNews { member, name: name.into(), addr: None, born: None, gone: false };
+    let event = Event::List { update: ListUpdate::Full, entries: vec![listing, source] };
+    let named = |member, name: &str| MemberNews {
+        member,
+        name: name.into(),
+        addr: None,
+        started_at: None,
+        gone: false,
+    };
     let members = vec![named(MemberId(1), "s-1"), named(MemberId(2), "o-1")];
     let news = MembersNews { full: true, members };
     engine.handle(Input::Listed { from: ListSource::Bus, news, event });
@@ -313,17 +318,17 @@
         zone: Default::default(),
         kind: elmtide::KindId(if *member == ORIGIN { 2 } else { 0 }),
         cell: Default::default(),
-        born: None,
+        started_at: None,
         availability: *availability,
     };
     let named = |(member, _): &(MemberId, Availability)| MemberNews {
         member: *member,
         name: format!("s-{}", member.0).as_str().into(),
         addr: None,
-        born: None,
+        started_at: None,
         gone: false,
     };
-    let event = Event::List { news: ListNews::Full, entries: members.iter().map(listing).collect() };
+    let event = Event::List { update: ListUpdate::Full, entries: members.iter().map(listing).collect() };
     let news = MembersNews { full: true, members: members.iter().map(named).collect() };
     Input::Listed { from: ListSource::Bus, news, event }
 }
@@ -362,7 +367,7 @@
 /// Ways to nodes, the engine, and the answers it gives; a class with this rule on repeats.
 fn engine_with(way: &Waiting, repeat: Repeat, cancel: bool) -> (Engine<Waiting>, Answers) {
     let class = ClassSettings {
-        aim: 1000.0,
+        target_latency: 1000.0,
         deadline: 60_000.0,
         repeat,
         key_window: Some(3000.0),
--- a/front/src/exchange.rs
+++ b/front/src/exchange.rs
@@ -289,7 +289,7 @@
     pub member: MemberId,
     pub name: Arc<str>,
     pub addr: Option<std::net::SocketAddr>,
-    pub born: Option<Ms>,
+    pub started_at: Option<Ms>,
     pub gone: bool,
 }
 
--- a/front/src/memory/announced.rs
+++ b/front/src/memory/announced.rs
@@ -69,7 +69,7 @@
 
 #[cfg(test)]
 mod tests {
-    use elmtide::{CellId, KindId, ListNews, Listing, ZoneId};
+    use elmtide::{CellId, KindId, ListUpdate, Listing, ZoneId};
 
     use super::*;
     use crate::exchange::MemberNews;
@@ -82,19 +82,19 @@
             zone: ZoneId(0),
             kind: KindId(0),
             cell: CellId(0),
-            born: None,
+            started_at: None,
             availability: *availability,
         };
         let member = |(name, port, availability): &(&str, u16, Availability)| MemberNews {
             member: member_id(name),
             name: (*name).into(),
             addr: Some(([127, 0, 0, 1], *port).into()),
-            born: None,
+            started_at: None,
             gone: *availability == Availability::Gone,
         };
         let news = MembersNews { full, members: nodes.iter().map(member).collect() };
-        let kind = if full { ListNews::Full } else { ListNews::Delta };
-        (news, Event::List { news: kind, entries: nodes.iter().map(listing).collect() })
+        let kind = if full { ListUpdate::Full } else { ListUpdate::Delta };
+        (news, Event::List { update: kind, entries: nodes.iter().map(listing).collect() })
     }
 
     fn availability(announced: &Announced) -> Vec<Availability> {
--- a/front/src/memory/resolved.rs
+++ b/front/src/memory/resolved.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use elmtide::{Availability, CellId, Event, KindId, ListNews, Listing, MemberId, ZoneId};
+use elmtide::{Availability, CellId, Event, KindId, ListUpdate, Listing, MemberId, ZoneId};
 use elmtide_dns::stub::Endpoint;
 
 use crate::edge::config::Upstream;
@@ -46,10 +46,11 @@
             if self.0.len() >= MOST && !self.0.contains_key(&member) {
                 break;
             }
-            let (cell, born, availability) = (CellId(0), None, Availability::Ready);
+            let (cell, started_at, availability) = (CellId(0), None, Availability::Ready);
             let weight = upstream.weight * endpoint.share;
-            let listing = Listing { member, weight, zone, kind, cell, born, availability };
-            let news = MemberNews { member, name: name.into(), addr: Some(endpoint.at), born, gone: false };
+            let listing = Listing { member, weight, zone, kind, cell, started_at, availability };
+            let news =
+                MemberNews { member, name: name.into(), addr: Some(endpoint.at), started_at, gone: false };
             let before = self.0.insert(member, (listing, news));
             changed |= before.is_none_or(|(before, _)| before != listing);
         }
@@ -59,6 +60,6 @@
     /// All of them, as the engine takes them.
     pub fn told(&self) -> (MembersNews, Event) {
         let (entries, members) = self.0.values().cloned().unzip();
-        (MembersNews { full: false, members }, Event::List { news: ListNews::Delta, entries })
+        (MembersNews { full: false, members }, Event::List { update: ListUpdate::Delta, entries })
     }
 }
--- a/lab/src/cells.rs
+++ b/lab/src/cells.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use elmtide::{
-    Availability, ClassId, ClassSettings, Event, KindId, ListNews, Listing, MemberId, ObjectId, Outcome,
+    Availability, ClassId, ClassSettings, Event, KindId, ListUpdate, Listing, MemberId, ObjectId, Outcome,
     PurgeGroup, RequestId, Router, Settings, ZoneId,
 };
 use elmtide_cells::layout::{blast_radius, shard};
@@ -246,7 +246,7 @@
 
 /// A router over ten caches and an origin, as a cell has one.
 fn router() -> Router {
-    let class = ClassSettings { aim: 100.0, deadline: 900.0, ..ClassSettings::default() };
+    let class = ClassSettings { target_latency: 100.0, deadline: 900.0, ..ClassSettings::default() };
     let settings = Settings { classes: vec![class], origin_kind: Some(KindId(2)), ..Settings::default() };
     let mut router = Router::new(settings, 1, 0.0, &mut Vec::new());
     let listing = |n: u64, kind| Listing {
@@ -255,11 +255,11 @@
         zone: ZoneId(0),
         kind: KindId(kind),
         cell: elmtide::CellId(0),
-        born: None,
+        started_at: None,
         availability: Availability::Ready,
     };
     let entries = (1..=10).map(|n| listing(n, 0)).chain([listing(99, 2)]).collect();
-    router.handle(0.0, Event::List { news: ListNews::Full, entries }, &mut Vec::new());
+    router.handle(0.0, Event::List { update: ListUpdate::Full, entries }, &mut Vec::new());
     router
 }
 
@@ -281,7 +281,7 @@
             object: ObjectId(object),
             part: 0,
             group: PurgeGroup(0),
-            left: 900.0,
+            time_left: 900.0,
             size_kb: Some(40.0),
             write: false,
         };
--- a/rules/tests/cells.rs
+++ b/rules/tests/cells.rs
@@ -19,7 +19,7 @@
 
 fn settings() -> Settings {
     let class = |repeat, write| ClassSettings {
-        aim: WORK,
+        target_latency: WORK,
         deadline: DEADLINE,
         repeat,
         write,
@@ -33,10 +33,10 @@
         cancel: true,
         fronts: Some(1),
         zone_fronts: vec![1],
-        cold_from: Some(COLD.0),
-        cold_span: Some(COLD.2),
-        fall_multiple: Some(1.0),
-        fall_span: Some(COLD.1),
+        cold_fraction: Some(COLD.0),
+        cold_duration: Some(COLD.2),
+        overload_factor: Some(1.0),
+        overload_window: Some(COLD.1),
         ..Settings::default()
     }
 }
@@ -107,7 +107,7 @@
             zone: ZoneId(0),
             kind: KindId(if n == ORIGIN { 2 } else { 0 }),
             cell: CellId(0),
-            born: None,
+            started_at: None,
             availability: Availability::Ready,
         };
         let mut world = World {
@@ -140,7 +140,7 @@
                 .iter()
                 .filter(|l| l.kind == KindId(0) && l.availability == Availability::Ready)
                 .count();
-            self.tell(cell as usize, Event::List { news: ListNews::Full, entries });
+            self.tell(cell as usize, Event::List { update: ListUpdate::Full, entries });
             self.cells.set_ready_nodes(CellIx(cell as u16), ready, self.now);
         }
         self.decided();
@@ -215,7 +215,7 @@
                 let router = usize::from(cell.0);
                 let Some(open) = self.open.get_mut(&id) else { return };
                 open.router = router;
-                request.left -= self.now - f64::from(request.part);
+                request.time_left -= self.now - f64::from(request.part);
                 request.part = 0;
                 self.tell(router, Event::Request(request));
             }
@@ -234,7 +234,7 @@
             // The moment at which it came, until it is begun.
             part: self.now as u32,
             group: PurgeGroup(0),
-            left: DEADLINE,
+            time_left: DEADLINE,
             size_kb: None,
             write: once,
         };
@@ -328,7 +328,7 @@
                 let listing = world.listings.get_mut(&node).unwrap();
                 listing.availability = Availability::Ready;
                 if deaf != Deaf::Starts {
-                    listing.born = Some(now);
+                    listing.started_at = Some(now);
                 }
                 world.rules.see(now, Seen::Serves { node });
                 let bears = WEIGHT * COLD.1 / WORK;
--- a/rules/tests/sizes.rs
+++ b/rules/tests/sizes.rs
@@ -73,8 +73,8 @@
 impl World {
     fn new(classes: &[Kind; 2], seed: u64, sheds_over: Option<Ms>) -> World {
         let class = |k: &Kind| ClassSettings {
-            aim: k.3,
-            aim_stretch: k.4,
+            target_latency: k.3,
+            target_stretch: k.4,
             deadline: k.5,
             repeat: Repeat::Safe,
             ..ClassSettings::default()
@@ -83,7 +83,7 @@
             classes: classes.iter().map(class).collect(),
             origin_kind: Some(KindId(2)),
             weights: WeightMeaning::Rough,
-            pace: Some(PACE),
+            transfer_kb_per_s: Some(PACE),
             max_attempts: Some(8),
             cancel: true,
             second_copies: true,
@@ -101,11 +101,11 @@
             zone: ZoneId(0),
             kind: KindId(if n == ORIGIN { 2 } else { 0 }),
             cell: CellId(0),
-            born: None,
+            started_at: None,
             availability: Availability::Ready,
         };
         let entries = (0..CACHES).chain([ORIGIN]).map(listing).collect();
-        world.tell(Event::List { news: ListNews::Full, entries });
+        world.tell(Event::List { update: ListUpdate::Full, entries });
         world
     }
 
@@ -170,7 +170,7 @@
             object: ObjectId(object),
             part: 0,
             group: PurgeGroup(0),
-            left: allow,
+            time_left: allow,
             size_kb: Some(work * PACE / 1000.0),
             write: false,
         }));
@@ -235,10 +235,10 @@
                 zone: ZoneId(0),
                 kind: KindId(0),
                 cell: CellId(0),
-                born: None,
+                started_at: None,
                 availability,
             };
-            world.tell(Event::List { news: ListNews::Delta, entries: (0..2).map(listing).collect() });
+            world.tell(Event::List { update: ListUpdate::Delta, entries: (0..2).map(listing).collect() });
         }
         world.step();
     }
--- a/src/open_requests.rs
+++ b/src/open_requests.rs
@@ -1,72 +1,78 @@
-//! Open requests and their attempts: what has been sent, how each attempt ended, and what that allows next.
+//! Open requests and their attempts: what was sent, how each attempt ended, and what that permits next.
 //!
-//! Whether another attempt may follow rests on how the earlier ones ended. An end that the server has told (an answer, a
-//! connection that it ended) is one for both sides; an end that only this side has seen is none at a server that hangs or is cut
-//! off.
+//! Whether another attempt may follow depends on how the earlier ones ended. An end that the server reported (an
+//! answer, a closed connection) holds for both sides. An end that only this side observed does not: the server may hang
+//! or be cut off and still be working.
 
 use crate::interface::*;
 
-/// A request that has no final answer yet, or attempts that have not come back.
+/// A request without a final answer, or with attempts that have not ended.
 #[derive(Debug)]
 pub(crate) struct OpenRequest {
     pub(crate) request: Request,
+    /// Sending time of its answer at the full rate.
     pub(crate) work: f64,
     pub(crate) deadline: Ms,
-    pub(crate) aim_at: Ms,
+    /// When the answer should come to meet the class's target latency.
+    pub(crate) target: Ms,
     pub(crate) attempts: Vec<Attempt>,
+    /// Whether it has its final answer.
     pub(crate) done: bool,
+    /// Whether the first byte has arrived.
     pub(crate) streaming: bool,
 }
 
 impl OpenRequest {
-    /// Fails wherever it is tried: the fault is its own. Clients can send such requests by hundreds.
-    pub(crate) fn is_unusable(&self) -> bool {
-        let first = self.attempts.iter().find(|a| a.doubtful);
-        first.is_some_and(|f| self.attempts.iter().any(|a| a.doubtful && a.cache != f.cache))
+    /// Two caches failed it for no known reason, so the request itself is at fault. Clients can send hundreds of them.
+    pub(crate) fn is_faulty(&self) -> bool {
+        let first = self.attempts.iter().find(|a| a.ambiguous);
+        first.is_some_and(|f| self.attempts.iter().any(|a| a.ambiguous && a.cache != f.cache))
     }
 }
 
-/// One sending of a request to a cache.
+/// One attempt: a request sent to one cache.
 #[derive(Debug)]
 pub(crate) struct Attempt {
     pub(crate) cache: MemberId,
     pub(crate) source: MemberId,
-    pub(crate) sent: Ms,
-    pub(crate) ask: Ask,
-    /// None while it is out.
+    pub(crate) sent_at: Ms,
+    pub(crate) lookup: Lookup,
+    /// `None` while in flight.
     pub(crate) end: Option<Outcome>,
-    /// An error that tells nothing of its cause.
-    pub(crate) doubtful: bool,
+    /// It ended with an error that does not show its cause.
+    pub(crate) ambiguous: bool,
 }
 
 impl Attempt {
+    /// False only if its end proves that it had no effect.
     pub(crate) fn may_have_run(&self) -> bool {
-        let proof = [Outcome::Full, Outcome::ConnectFailed, Outcome::Moot, Outcome::Miss];
-        self.end.is_none_or(|end| !proof.contains(&end))
+        let no_effect = [Outcome::Full, Outcome::ConnectFailed, Outcome::Moot, Outcome::Miss];
+        self.end.is_none_or(|end| !no_effect.contains(&end))
     }
 
-    /// It ended on this side only: where the server hangs or is cut off it has not heard of that.
+    /// It ended on this side only: a server that hangs or is cut off does not know that.
     pub(crate) fn may_still_run(&self) -> bool {
         matches!(self.end, Some(Outcome::Timeout | Outcome::Cancelled))
     }
 
-    /// It only looked for what is held, and found nothing: no failure, and what follows is no repeat.
+    /// It was a lookup of existing copies and found none: no failure, and the next attempt is not a retry.
     pub(crate) fn missed(&self) -> bool {
-        self.end == Some(Outcome::Miss) && matches!(self.ask, Ask::Former | Ask::Look | Ask::Held)
+        self.end == Some(Outcome::Miss)
+            && matches!(self.lookup, Lookup::FormerOwner | Lookup::Cache | Lookup::Parent)
     }
 }
 
-/// What an attempt asks its source for.
+/// Where an attempt may get the object from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Ask {
-    /// Whatever it has or can get.
-    Anything,
-    /// Only what a former owner holds; it may well lack the object.
-    Former,
-    /// Only what the cache holds: fills are guarded.
-    Look,
-    /// Only what a parent holds: the way to the origin is guarded.
-    Held,
-    /// An origin fetch that is counted, under guard.
+pub(crate) enum Lookup {
+    /// Any copy that the source has or can fetch.
+    Any,
+    /// Only the copy of a former owner, which may lack the object.
+    FormerOwner,
+    /// Only the cache's own copy: fills are limited.
+    Cache,
+    /// Only the parent's own copy: origin fetches are limited.
+    Parent,
+    /// Any copy; counts as an origin fetch against the limit.
     Origin,
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small front for tests: one router, a clock and the actions of the last step.
+//! A small front for tests: one router and a clock.
 #![allow(dead_code)]
 
 use elmtide::*;
@@ -7,20 +7,26 @@
 pub const PARENT: KindId = KindId(1);
 pub const ORIGIN: KindId = KindId(2);
 
-pub fn class(repeat: Repeat) -> ClassSettings {
-    ClassSettings { aim: 300.0, aim_stretch: Some(2.0), deadline: 3000.0, repeat, ..ClassSettings::default() }
+pub fn class_settings(repeat: Repeat) -> ClassSettings {
+    ClassSettings {
+        target_latency: 300.0,
+        target_stretch: Some(2.0),
+        deadline: 3000.0,
+        repeat,
+        ..ClassSettings::default()
+    }
 }
 
 pub fn settings() -> Settings {
     Settings {
         zone: ZONE,
-        classes: vec![class(Repeat::Safe)],
+        classes: vec![class_settings(Repeat::Safe)],
         fronts: Some(2),
         zone_fronts: vec![0, 0, 0, 0, 0, 0, 0, 1],
         parent_kind: Some(PARENT),
         origin_kind: Some(ORIGIN),
         weights: WeightMeaning::Nominal,
-        pace: Some(1000.0),
+        transfer_kb_per_s: Some(1000.0),
         joins: true,
         siblings: Siblings::Location,
         max_attempts: Some(6),
@@ -29,14 +35,14 @@
         retry_after: true,
         max_retry_after: Some(500.0),
         drain_grace: Some(500.0),
-        fall_multiple: Some(3.0),
-        fall_span: Some(2000.0),
-        cold_from: Some(0.2),
-        cold_span: Some(18_000.0),
-        parent_fall_multiple: Some(2.0),
-        parent_cold_from: Some(0.1),
-        parent_cold_span: Some(20_000.0),
-        purge_done: Some(6000.0),
+        overload_factor: Some(3.0),
+        overload_window: Some(2000.0),
+        cold_fraction: Some(0.2),
+        cold_duration: Some(18_000.0),
+        parent_overload_factor: Some(2.0),
+        parent_cold_fraction: Some(0.1),
+        parent_cold_duration: Some(20_000.0),
+        purge_duration: Some(6000.0),
         ..Settings::default()
     }
 }
@@ -48,7 +54,7 @@
         zone: ZONE,
         kind: KindId(0),
         cell: CellId(id as u16 % 2),
-        born: None,
+        started_at: None,
         availability: Availability::Ready,
     }
 }
@@ -61,8 +67,8 @@
     Listing { kind: ORIGIN, zone: ZoneId(0), ..cache(id) }
 }
 
-/// Caches 1 to 4, parents 101 and 102, origin 201.
-pub fn fleet() -> Vec<Listing> {
+/// Caches 1 to 4, parents 101 and 102 and origin 201.
+pub fn member_list() -> Vec<Listing> {
     (1..5).map(cache).chain([parent(101), parent(102), origin(201)]).collect()
 }
 
@@ -73,41 +79,42 @@
         object: ObjectId(object),
         part: 0,
         group: PurgeGroup(3),
-        left: 3000.0,
+        time_left: 3000.0,
         size_kb: Some(100.0),
         write: false,
     }
 }
 
-pub struct Front {
+pub struct TestFront {
     pub router: Router,
     pub now: Ms,
 }
 
-impl Front {
-    pub fn new(settings: Settings, list: Vec<Listing>) -> Front {
-        let mut front = Front { router: Router::new(settings, 1, 0.0, &mut Vec::new()), now: 100_000.0 };
-        front.tell(Event::List { news: ListNews::Cached, entries: list });
+impl TestFront {
+    pub fn new(settings: Settings, list: Vec<Listing>) -> TestFront {
+        let mut front = TestFront { router: Router::new(settings, 1, 0.0, &mut Vec::new()), now: 100_000.0 };
+        front.handle(Event::List { update: ListUpdate::Cached, entries: list });
         front
     }
 
-    pub fn tell(&mut self, event: Event) -> Vec<Action> {
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         self.router.handle(self.now, event, &mut out);
         out
     }
 
-    pub fn ask(&mut self, id: u32, object: u64) -> Vec<Action> {
-        self.tell(Event::Request(request(id, object)))
+    pub fn request(&mut self, id: u32, object: u64) -> Vec<Action> {
+        self.handle(Event::Request(request(id, object)))
     }
 
     pub fn reply(&mut self, id: u32, attempt: u8, outcome: Outcome) -> Vec<Action> {
         let (id, attempt, settled) = (RequestId(id), Try(attempt), outcome == Outcome::Ok);
-        self.tell(Event::Reply { id, attempt, outcome, latency: 150.0, settled, note: Note::Absent })
+        self.handle(Event::Reply { id, attempt, outcome, latency: 150.0, settled, note: Note::Absent })
     }
 }
 
-pub struct Sent {
+/// What an [`Action::Serve`] sends.
+pub struct SentAttempt {
     pub cache: MemberId,
     pub source: MemberId,
     pub max_age: Option<Ms>,
@@ -115,15 +122,21 @@
     pub timeout: Ms,
 }
 
-pub fn sent(actions: &[Action]) -> Option<Sent> {
+/// The first attempt among the actions.
+pub fn first_attempt(actions: &[Action]) -> Option<SentAttempt> {
     actions.iter().find_map(|a| match a {
-        Action::Serve { cache, source, max_age, mode, timeout, .. } => {
-            Some(Sent { cache: *cache, source: *source, max_age: *max_age, mode: *mode, timeout: *timeout })
-        }
+        Action::Serve { cache, source, max_age, mode, timeout, .. } => Some(SentAttempt {
+            cache: *cache,
+            source: *source,
+            max_age: *max_age,
+            mode: *mode,
+            timeout: *timeout,
+        }),
         _ => None,
     })
 }
 
-pub fn finals(actions: &[Action]) -> usize {
+/// Number of final answers among the actions.
+pub fn final_answers(actions: &[Action]) -> usize {
     actions.iter().filter(|a| matches!(a, Action::Refuse { .. } | Action::Fail { .. })).count()
 }
--- a/tests/known_failures_list.rs
+++ b/tests/known_failures_list.rs
@@ -1,4 +1,4 @@
-//! The scripts by which CI passes over known failures: exactly the test that an entry names, and nothing else.
+//! The scripts by which CI skips known failures: each entry must skip exactly the test that it names.
 
 use std::fs;
 use std::os::unix::fs::PermissionsExt;
@@ -6,27 +6,27 @@
 use std::process::{Command, Output};
 use std::sync::atomic::{AtomicU32, Ordering::Relaxed};
 
-/// Stands for a test program: lists its tests, or prints what it was called with.
+/// Stands in for a test program: lists its tests, or prints its arguments.
 const PROGRAM: &str = "#!/bin/bash\n\
     if [ \"${1:-}\" = --list ]; then printf '%s: test\\n' a_flood flood::a_flood a_flood_of_many; exit; fi\n\
     echo \"arguments:$*\"\necho \"seeds:${ELMTIDE_SOAK_KNOWN_FAILURES:-}\"\n";
 
 /// A folder with a list of known failures and test programs.
-struct Scene(PathBuf);
+struct Setup(PathBuf);
 
-impl Scene {
-    fn new(list: &str) -> Scene {
+impl Setup {
+    fn new(list: &str) -> Setup {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let name = format!("elmtide-ci-{}-{}", std::process::id(), NEXT.fetch_add(1, Relaxed));
         let folder = std::env::temp_dir().join(name);
         fs::create_dir_all(folder.join("matched")).unwrap();
         fs::write(folder.join("list"), list).unwrap();
-        Scene(folder)
+        Setup(folder)
     }
 
-    /// Runs a test program of this file name as cargo would for a package.
-    fn run(&self, package: &str, file: &str) -> String {
-        let program = self.0.join(file);
+    /// Runs a test program with this file name as cargo would for the package.
+    fn run(&self, package: &str, file_name: &str) -> String {
+        let program = self.0.join(file_name);
         fs::write(&program, PROGRAM).unwrap();
         fs::set_permissions(&program, fs::Permissions::from_mode(0o755)).unwrap();
         let output = script("test-runner")
@@ -39,7 +39,7 @@
         text(&output)
     }
 
-    /// Counts what was passed over: whether CI goes on, and what it says.
+    /// Checks that every entry matched: whether CI passes, and the output.
     fn check(&self) -> (bool, String) {
         let output = script("check-known-failures")
             .args([self.0.join("list"), self.0.join("matched")])
@@ -49,7 +49,7 @@
     }
 }
 
-impl Drop for Scene {
+impl Drop for Setup {
     fn drop(&mut self) {
         let _ = fs::remove_dir_all(&self.0);
     }
@@ -70,64 +70,64 @@
 const OTHER_FILE: &str = "front-0123456789abcdef";
 
 #[test]
-fn an_entry_passes_over_the_test_that_it_names() {
-    let scene = Scene::new("edge/limits::a_flood one question was lost; issue 1\n");
-    let said = scene.run("edge", PROGRAM_FILE);
-    assert!(said.contains("known to fail, passed over: edge/limits::a_flood\n"), "{said}");
-    assert!(said.contains("arguments:--exact --skip a_flood\n"), "{said}");
-    let (goes_on, said) = scene.check();
-    assert!(goes_on && said.contains("known failures passed over: 1"), "{said}");
+fn an_entry_skips_the_test_that_it_names() {
+    let setup = Setup::new("edge/limits::a_flood one question was lost; issue 1\n");
+    let report = setup.run("edge", PROGRAM_FILE);
+    assert!(report.contains("known to fail, passed over: edge/limits::a_flood\n"), "{report}");
+    assert!(report.contains("arguments:--exact --skip a_flood\n"), "{report}");
+    let (passes, report) = setup.check();
+    assert!(passes && report.contains("known failures passed over: 1"), "{report}");
 }
 
 #[test]
-fn tests_of_the_same_name_elsewhere_run() {
-    let scene = Scene::new("edge/limits::a_flood cause; issue 1\n");
-    for (package, file) in [("core", PROGRAM_FILE), ("edge", OTHER_FILE)] {
-        assert!(scene.run(package, file).contains("arguments:\n"), "{package} {file}");
+fn tests_of_the_same_name_in_other_packages_and_programs_run() {
+    let setup = Setup::new("edge/limits::a_flood cause; issue 1\n");
+    for (package, file_name) in [("core", PROGRAM_FILE), ("edge", OTHER_FILE)] {
+        assert!(setup.run(package, file_name).contains("arguments:\n"), "{package} {file_name}");
     }
 }
 
 #[test]
-fn a_test_in_a_module_is_named_whole() {
-    let scene = Scene::new("edge/limits::flood::a_flood cause; issue 1\n");
-    assert!(scene.run("edge", PROGRAM_FILE).contains("arguments:--exact --skip flood::a_flood\n"));
-    assert!(scene.check().0);
+fn an_entry_names_a_test_in_a_module_by_its_full_path() {
+    let setup = Setup::new("edge/limits::flood::a_flood cause; issue 1\n");
+    assert!(setup.run("edge", PROGRAM_FILE).contains("arguments:--exact --skip flood::a_flood\n"));
+    assert!(setup.check().0);
 }
 
 #[test]
-fn an_entry_that_names_no_test_stops_ci() {
+fn an_entry_that_names_no_test_fails_the_check() {
     for entry in ["edge/limits::a_floo", "edge/limits::flood", "a_flood", "edge/limits"] {
-        let scene = Scene::new(&format!("{entry} cause; issue 1\n"));
-        assert!(scene.run("edge", PROGRAM_FILE).contains("arguments:\n"), "{entry}");
-        let (goes_on, said) = scene.check();
-        assert!(!goes_on && said.contains(&format!("{entry} matches tests of 0 programs")), "{said}");
+        let setup = Setup::new(&format!("{entry} cause; issue 1\n"));
+        assert!(setup.run("edge", PROGRAM_FILE).contains("arguments:\n"), "{entry}");
+        let (passes, report) = setup.check();
+        assert!(!passes && report.contains(&format!("{entry} matches tests of 0 programs")), "{report}");
     }
 }
 
 #[test]
-fn an_entry_that_names_tests_of_two_programs_stops_ci() {
-    let scene = Scene::new("edge/limits::a_flood cause; issue 1\n");
-    for file in [PROGRAM_FILE, "limits-fedcba9876543210"] {
-        scene.run("edge", file);
+fn an_entry_that_matches_two_programs_fails_the_check() {
+    let setup = Setup::new("edge/limits::a_flood cause; issue 1\n");
+    for file_name in [PROGRAM_FILE, "limits-fedcba9876543210"] {
+        setup.run("edge", file_name);
     }
-    let (goes_on, said) = scene.check();
-    assert!(!goes_on && said.contains("matches tests of 2 programs"), "{said}");
+    let (passes, report) = setup.check();
+    assert!(!passes && report.contains("matches tests of 2 programs"), "{report}");
 }
 
 #[test]
-fn a_seed_of_a_soak_is_passed_over_and_the_test_runs() {
-    let scene =
-        Scene::new("edge/limits::a_flood --seed 7 cause; issue 1\nedge/limits::a_flood --seed 9 cause\n");
-    let said = scene.run("edge", PROGRAM_FILE);
-    assert!(said.contains("passed over: edge/limits::a_flood, seed 7\n"), "{said}");
-    assert!(said.contains("arguments:\nseeds:7,9\n"), "{said}");
-    let (goes_on, said) = scene.check();
-    assert!(goes_on && said.contains("known failures passed over: 2"), "{said}");
+fn an_entry_with_a_seed_skips_that_seed_and_the_test_runs() {
+    let setup =
+        Setup::new("edge/limits::a_flood --seed 7 cause; issue 1\nedge/limits::a_flood --seed 9 cause\n");
+    let report = setup.run("edge", PROGRAM_FILE);
+    assert!(report.contains("passed over: edge/limits::a_flood, seed 7\n"), "{report}");
+    assert!(report.contains("arguments:\nseeds:7,9\n"), "{report}");
+    let (passes, report) = setup.check();
+    assert!(passes && report.contains("known failures passed over: 2"), "{report}");
 }
 
 #[test]
-fn an_empty_list_passes_over_nothing() {
-    let scene = Scene::new("\n");
-    assert!(scene.run("edge", PROGRAM_FILE).contains("arguments:\nseeds:\n"));
-    assert!(scene.check().0);
+fn an_empty_list_skips_nothing() {
+    let setup = Setup::new("\n");
+    assert!(setup.run("edge", PROGRAM_FILE).contains("arguments:\nseeds:\n"));
+    assert!(setup.check().0);
 }
--- a/tests/ring.rs
+++ b/tests/ring.rs
@@ -1,4 +1,4 @@
-//! The ring table alone.
+//! The ring table.
 
 use elmtide::{MemberId, ObjectId, Ring};
 use std::collections::BTreeMap;
@@ -7,7 +7,7 @@
     weights.iter().enumerate().map(|(i, w)| (MemberId(1000 + 77 * i as u64), *w)).collect()
 }
 
-fn first_shares(ring: &Ring, objects: u64) -> BTreeMap<MemberId, f64> {
+fn first_place_shares(ring: &Ring, objects: u64) -> BTreeMap<MemberId, f64> {
     let mut shares = BTreeMap::new();
     for object in 0..objects {
         *shares.entry(ring.group(ObjectId(object), 0)[0]).or_insert(0.0) += 1.0 / objects as f64;
@@ -41,7 +41,7 @@
         [vec![1.0; 4], vec![1.0, 2.0, 3.0, 4.0], vec![1.0, 1.0, 1.0], vec![8.0, 5.0, 6.0, 7.0, 9.0, 5.0]]
     {
         let list = members(&weights);
-        let shares = first_shares(&Ring::build(&list), 20_000);
+        let shares = first_place_shares(&Ring::build(&list), 20_000);
         let total: f64 = weights.iter().sum();
         for (id, weight) in &list {
             let (got, want) = (shares.get(id).copied().unwrap_or(0.0), weight / total);
@@ -52,7 +52,7 @@
 
 #[test]
 fn a_small_ramp_weight_gets_a_small_share_even_where_the_group_is_everyone() {
-    let shares = first_shares(&Ring::build(&members(&[6.0, 6.0, 1.0])), 20_000);
+    let shares = first_place_shares(&Ring::build(&members(&[6.0, 6.0, 1.0])), 20_000);
     let cold = shares[&MemberId(1000 + 2 * 77)];
     assert!((0.03..0.13).contains(&cold), "{cold}");
 }
@@ -68,19 +68,19 @@
 }
 
 #[test]
-fn few_members_odd_weights_and_none() {
+fn rings_of_few_members_invalid_weights_or_no_members_give_valid_groups() {
     assert!(Ring::build(&[]).group(ObjectId(1), 0).is_empty());
     assert!(Ring::build(&members(&[0.0, 0.0])).group(ObjectId(1), 0).is_empty());
     assert!(Ring::build(&members(&[f64::NAN, -1.0])).group(ObjectId(1), 0).is_empty());
     assert_eq!(Ring::build(&members(&[2.0])).group(ObjectId(5), 3).len(), 1);
     assert_eq!(Ring::build(&members(&[2.0, 0.0, 1.0])).group(ObjectId(5), 3).len(), 2);
     let giant = Ring::build(&members(&[1e30, 1.0, 1.0, 1.0]));
-    let shares = first_shares(&giant, 2000);
+    let shares = first_place_shares(&giant, 2000);
     assert!(shares[&MemberId(1000)] > 0.9);
 }
 
 #[test]
-fn an_objects_parts_share_its_group() {
+fn parts_of_an_object_share_its_group_in_different_orders() {
     let ring = Ring::build(&members(&[1.0; 6]));
     for object in 0..200 {
         let mut whole = ring.group(ObjectId(object), 0);
@@ -103,7 +103,7 @@
         let starts = Ring::build(&members(&vec![1.0; n])).starts;
         let end = |f: usize| starts.get(f + 1).copied().unwrap_or(1.0);
         assert!(starts[0] == 0.0 && starts.windows(2).all(|w| w[0] < w[1]), "sorted from 0");
-        // Halving gives multiples of 1/4096 at the finest; all other starts are frame borders, one a member.
+        // Halving gives multiples of 1/4096 at the finest; all other starts are frame borders, one per member.
         let borders: Vec<f64> = starts.iter().copied().filter(|s| (s * 4096.0).fract() != 0.0).collect();
         assert_eq!(borders.len(), n);
         for (f, start) in starts.iter().enumerate() {
@@ -120,7 +120,7 @@
                     k += 1;
                     sum += if k > 1 { epsilon * (1.0 + epsilon).powi(k - 1) * frame } else { 0.0 };
                 }
-                // The loop ends at the first k that is too much.
+                // The loop ends at the first k that is too large.
                 let bound = epsilon * (1.0 + epsilon).powi(k - 1) * frame;
                 assert!(
                     length <= bound * 1.0001 || length <= 1.0 / 4096.0,
