--- a/core/consensus/src/convert.rs
+++ b/core/consensus/src/convert.rs
@@ -1,4 +1,4 @@
-//! Conversions between our records and messages and the protobuf types of the `raft` crate.
+//! Conversions between this crate's records and messages and the protobuf types of the `raft` crate.
 
 use raft::prelude as pb;
 use raft::prelude::{
@@ -68,7 +68,7 @@
     converted
 }
 
-/// A change of voters, as the context of its log entry encodes it.
+/// A membership change, encoded as the context of its log entry.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct VoterChange {
     pub add: Vec<VoterId>,
@@ -92,7 +92,7 @@
     }
 }
 
-/// The kinds that voters send each other, in both forms.
+/// The message kinds that voters exchange, each with its type in the `raft` crate.
 const MESSAGE_KINDS: [(MessageKind, MessageType); 10] = [
     (MessageKind::Append, MessageType::MsgAppend),
     (MessageKind::AppendResponse, MessageType::MsgAppendResponse),
@@ -111,10 +111,10 @@
 }
 
 fn kind_to_raft(kind: MessageKind) -> Option<MessageType> {
-    MESSAGE_KINDS.iter().find(|(ours, _)| *ours == kind).map(|(_, raft)| *raft)
+    MESSAGE_KINDS.iter().find(|(own_kind, _)| *own_kind == kind).map(|(_, raft)| *raft)
 }
 
-/// A message of the `raft` crate for a peer; `None` for a kind that stays within the process.
+/// Converts a message of the `raft` crate for sending; `None` for kinds that are local to the process.
 pub(crate) fn message_from_raft(message: &pb::Message) -> Option<Message> {
     let kind = kind_from_raft(message.get_msg_type())?;
     let snapshot = (kind == MessageKind::Snapshot).then(|| snapshot_from_raft(message.get_snapshot()));
@@ -136,7 +136,7 @@
     })
 }
 
-/// A peer's message for the `raft` crate; `None` for one that no voter of ours sends.
+/// Converts a received message for the `raft` crate; `None` for a malformed message, which no correct voter sends.
 pub(crate) fn message_to_raft(message: Message) -> Option<pb::Message> {
     if !message.is_well_formed() {
         return None;
--- a/core/consensus/src/lib.rs
+++ b/core/consensus/src/lib.rs
@@ -1,21 +1,23 @@
-//! Replicated state machine over Raft: one log of commands among three or five voters, by the `raft` crate.
+//! Replicated state machine over Raft: one command log replicated to three or five voters, using the `raft` crate.
 //!
-//! **Invariant: every voter applies the same commands in the same order, and a command that was submitted twice is applied
-//! once.** It rests on a majority of stores that keep what was synced. It does not rest on failure detection or on clocks:
-//! ticks only decide how soon a new leader is elected. Without a majority nothing is committed, and every process goes on
-//! with what it has.
+//! **Invariant: every voter applies the same commands in the same order, and a command that is submitted twice is
+//! applied once.** This assumes that a majority of the stores keep what was synced. It depends neither on failure
+//! detection nor on clocks: ticks only determine how soon a new leader is elected. Without a majority nothing is
+//! committed, and every process continues with the state it has.
 //!
-//! - [`voter`]: one voter, its log and its state machine. [`Voter::ready`] gives what has to be synced before
-//!   [`Voter::advance`] gives the messages that depend on it;
-//! - [`records`]: what a store keeps;
-//! - [`message`]: Raft's messages as types of ours, so that no bytes of a peer reach a protobuf parser;
+//! - [`voter`]: one voter with its log and its state machine. [`Voter::ready`] returns what has to be synced before
+//!   [`Voter::advance`] returns the messages that depend on it;
+//! - [`records`]: the data that a store persists;
+//! - [`message`]: Raft's messages as types of this crate, so that no bytes from a peer reach a protobuf parser;
 //! - [`sessions`]: deduplication of commands.
 //!
-//! | victim \ step | submitted | proposed | synced by a majority | applied | acknowledged |
+//! What happens to a command when a process fails, by the step that the command has reached:
+//!
+//! | failed process | submitted | proposed | synced by a majority | applied | acknowledged |
 //! | --- | --- | --- | --- | --- | --- |
-//! | leader lost | submitted again to the next one | lost or committed: submitted again, applied once | committed by the next one | as before | outcome repeated from the session |
-//! | client lost | - | applied or not, nobody waits | applied | applied | - |
-//! | follower lost | - | - | majority of the others | catches up by log or snapshot | - |
+//! | leader | resubmitted to the next leader | lost or committed: resubmitted, applied once | committed by the next leader | same as synced | outcome returned again from the session |
+//! | client | - | applied or not, nobody waits for it | applied | applied | - |
+//! | follower | - | - | majority formed by the other voters | catches up from the log or a snapshot | - |
 
 #![warn(clippy::needless_pass_by_value, clippy::too_many_lines, clippy::fn_params_excessive_bools)]
 
@@ -34,26 +36,27 @@
 
 use serde::{de::DeserializeOwned, Deserialize, Serialize};
 
-/// A voter, identified by its store: drawn at random with the store, never 0, never used again.
+/// Identifies a voter by its store: a random id, drawn when the store is created, never 0 and never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct VoterId(pub u64);
 
-/// The state that the log's commands change. Applying uses neither a clock nor randomness: the result is the same everywhere.
+/// The state that the log's commands change. It must be deterministic: applying uses neither a clock nor randomness, so
+/// that every voter gets the same result.
 pub trait StateMachine: Default {
-    /// One command of the log.
+    /// A command in the log.
     type Command: Serialize + DeserializeOwned + Clone;
-    /// What applying a command gives to whoever submitted it.
+    /// The result of applying a command, returned to its submitter.
     type Outcome: Serialize + DeserializeOwned + Clone + PartialEq + std::fmt::Debug;
 
-    /// Applies one command.
+    /// Applies one command and returns its outcome.
     fn apply(&mut self, command: &Self::Command) -> Self::Outcome;
-    /// The whole state as bytes.
+    /// Encodes the whole state.
     fn snapshot(&self) -> Vec<u8>;
-    /// The state from its bytes; `None` if they are no state.
+    /// Decodes a state from the bytes of [`StateMachine::snapshot`]; `None` if they are invalid.
     fn restore(bytes: &[u8]) -> Option<Self>;
 }
 
-/// Whether a cluster may have this number of voters: three or five, or one for experiments.
+/// Whether a cluster may have this number of voters: three or five, or one for testing.
 pub fn is_valid_cluster_size(voters: usize) -> bool {
     matches!(voters, 1 | 3 | 5)
 }
--- a/core/consensus/src/log.rs
+++ b/core/consensus/src/log.rs
@@ -1,4 +1,4 @@
-//! The log in memory, as the `raft` crate reads it.
+//! The in-memory copy of the log, which the `raft` crate reads through its `Storage` trait.
 
 use raft::prelude::{Entry, HardState as RaftHardState, Snapshot as RaftSnapshot};
 use raft::{Error, GetEntriesContext, RaftState, Result, Storage, StorageError};
@@ -6,48 +6,48 @@
 use crate::convert::{entry_to_raft, snapshot_to_raft, voters_to_raft};
 use crate::records::{Compaction, HardState, Snapshot, StoredLog};
 
-/// Index and term of an entry.
+/// Index and term of a log entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct LogPosition {
     pub index: u64,
     pub term: u64,
 }
 
-/// The snapshot and the entries after `before_first`, whose term is known.
+/// The latest snapshot and the log entries that follow `preceding`, the position before the first retained entry.
 pub(crate) struct MemoryLog {
     pub hard_state: HardState,
     pub snapshot: Snapshot,
-    before_first: LogPosition,
+    preceding: LogPosition,
     entries: Vec<Entry>,
 }
 
 impl MemoryLog {
     pub(crate) fn new(stored: StoredLog) -> MemoryLog {
         let StoredLog { hard_state, snapshot, entries } = stored;
-        let before_first = match entries.first() {
-            // The term of the entry before the first is only asked for where the snapshot ends there.
+        let preceding = match entries.first() {
+            // The term of the preceding entry is only queried if the snapshot ends there.
             Some(first) if first.index <= snapshot.index => LogPosition { index: first.index - 1, term: 0 },
             _ => LogPosition { index: snapshot.index, term: snapshot.term },
         };
-        // A commit index alone is not synced; what a snapshot was made of was committed.
+        // A change of only the commit index is not synced. Entries covered by a snapshot are committed.
         let commit = hard_state.commit.max(snapshot.index);
         MemoryLog {
             hard_state: HardState { commit, ..hard_state },
             snapshot,
-            before_first,
+            preceding,
             entries: entries.into_iter().map(entry_to_raft).collect(),
         }
     }
 
     fn first(&self) -> u64 {
-        self.before_first.index + 1
+        self.preceding.index + 1
     }
 
     fn last(&self) -> u64 {
-        self.before_first.index + self.entries.len() as u64
+        self.preceding.index + self.entries.len() as u64
     }
 
-    /// Replaces all entries from the index of the first one on.
+    /// Appends entries, replacing any existing entries from the first new index on.
     pub(crate) fn append(&mut self, entries: Vec<Entry>) {
         let Some(first) = entries.first().map(|e| e.index) else { return };
         let kept = first.saturating_sub(self.first()) as usize;
@@ -55,23 +55,23 @@
         self.entries.extend(entries);
     }
 
-    /// Replaces everything by a leader's snapshot.
+    /// Replaces the snapshot and the whole log by a snapshot received from the leader.
     pub(crate) fn restore(&mut self, snapshot: Snapshot) {
-        self.before_first = LogPosition { index: snapshot.index, term: snapshot.term };
+        self.preceding = LogPosition { index: snapshot.index, term: snapshot.term };
         self.entries.clear();
         self.hard_state.commit = self.hard_state.commit.max(snapshot.index);
         self.hard_state.term = self.hard_state.term.max(snapshot.term);
         self.snapshot = snapshot;
     }
 
-    /// Cuts the beginning of the log behind a snapshot that was made here.
+    /// Installs a snapshot taken by this voter and discards the entries before `first_index`.
     pub(crate) fn compact(&mut self, compaction: Compaction) {
         self.snapshot = compaction.snapshot;
         let dropped = compaction.first_index.saturating_sub(self.first());
         let dropped = dropped.min(self.entries.len() as u64) as usize;
         if dropped > 0 {
             let last = &self.entries[dropped - 1];
-            self.before_first = LogPosition { index: last.index, term: last.term };
+            self.preceding = LogPosition { index: last.index, term: last.term };
             self.entries.drain(..dropped);
         }
     }
@@ -103,8 +103,8 @@
         if high > self.last() + 1 {
             return Err(Error::Store(StorageError::Unavailable));
         }
-        let place = |index: u64| (index - self.first()) as usize;
-        let mut entries = self.entries[place(low)..place(high)].to_vec();
+        let offset = |index: u64| (index - self.first()) as usize;
+        let mut entries = self.entries[offset(low)..offset(high)].to_vec();
         raft::util::limit_size(&mut entries, max_size.into());
         Ok(entries)
     }
@@ -113,8 +113,8 @@
         if index == self.snapshot.index {
             return Ok(self.snapshot.term);
         }
-        if index == self.before_first.index {
-            return Ok(self.before_first.term);
+        if index == self.preceding.index {
+            return Ok(self.preceding.term);
         }
         if index < self.first() {
             return Err(Error::Store(StorageError::Compacted));
--- a/core/consensus/src/message.rs
+++ b/core/consensus/src/message.rs
@@ -1,18 +1,18 @@
-//! Raft's messages as types of ours, with the bounds that a peer's message has to keep.
+//! Raft's messages as types of this crate, with the limits that a received message must respect.
 
 use serde::{Deserialize, Serialize};
 
 use crate::records::{LogEntry, Snapshot};
 use crate::VoterId;
 
-/// Most entries of one message.
+/// Maximum number of entries in one message.
 pub const MAX_ENTRIES_PER_MESSAGE: usize = 8192;
-/// Most bytes of one entry.
+/// Maximum size of one entry's data, in bytes.
 pub const MAX_ENTRY_BYTES: usize = 256 << 10;
-/// Most bytes of a message's context.
+/// Maximum size of a message's context, in bytes.
 const MAX_CONTEXT_BYTES: usize = 64;
 
-/// The kinds of messages that voters send each other.
+/// The kinds of messages that voters exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[allow(missing_docs, reason = "named as in the Raft paper")]
 pub enum MessageKind {
@@ -28,7 +28,7 @@
     TimeoutNow,
 }
 
-/// One message between voters; the fields are those of the `raft` crate.
+/// One message between voters, with the same fields as the `raft` crate's message.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[allow(missing_docs, reason = "named as in the `raft` crate")]
 pub struct Message {
@@ -49,19 +49,21 @@
 }
 
 impl Message {
-    /// Whether a voter of ours could have sent it.
+    /// Whether a correct voter could have sent this message.
     pub(crate) fn is_well_formed(&self) -> bool {
-        let bounded = self.entries.len() <= MAX_ENTRIES_PER_MESSAGE
+        let is_within_limits = self.entries.len() <= MAX_ENTRIES_PER_MESSAGE
             && self.entries.iter().all(|entry| entry.data.len() <= MAX_ENTRY_BYTES)
             && self.context.len() <= MAX_CONTEXT_BYTES;
         let has_snapshot = self.snapshot.is_some();
-        bounded && has_snapshot == (self.kind == MessageKind::Snapshot) && self.entries_are_contiguous()
+        is_within_limits
+            && has_snapshot == (self.kind == MessageKind::Snapshot)
+            && self.entries_are_contiguous()
     }
 
-    /// Entries follow one another from the message's index on, and none is of a later term than the message.
+    /// Whether the entries directly follow the message's index without gaps and none has a later term than the message.
     fn entries_are_contiguous(&self) -> bool {
         let first = self.index + 1;
-        let in_place = |(entry, index): (&LogEntry, u64)| entry.index == index && entry.term <= self.term;
-        self.entries.iter().zip(first..).all(in_place)
+        let is_valid_at = |(entry, index): (&LogEntry, u64)| entry.index == index && entry.term <= self.term;
+        self.entries.iter().zip(first..).all(is_valid_at)
     }
 }
--- a/core/consensus/src/ready.rs
+++ b/core/consensus/src/ready.rs
@@ -1,31 +1,31 @@
-//! What a voter gives its caller to sync and send, and what follows once that is done.
+//! The work that a voter hands to its caller: what to sync and send, and what follows once that is synced.
 
 use crate::message::Message;
 use crate::records::{HardState, StorageUpdate};
 use crate::{CommandId, StateMachine};
 
-/// What has to be done before the voter can go on.
+/// Work that the caller has to do before the voter can continue.
 pub struct Ready {
-    /// Messages that do not depend on anything that has to be synced.
+    /// Messages that may be sent before `update` is synced.
     pub messages: Vec<Message>,
-    /// To be synced, all of it, before [`Voter::advance`](crate::Voter::advance).
+    /// Must be synced completely before [`Voter::advance`](crate::Voter::advance) is called.
     pub update: StorageUpdate,
-    /// The new hard state, also where it need not be synced: a commit index alone is found again after a restart.
+    /// The new hard state, even if it need not be synced: a commit index alone is rediscovered after a restart.
     pub(crate) hard_state: Option<HardState>,
     pub(crate) raft: raft::Ready,
 }
 
-/// What follows once a [`Ready`] was synced.
+/// What follows once the update of a [`Ready`] is synced.
 pub struct Progress<M: StateMachine> {
-    /// Messages that depended on what was synced.
+    /// Messages that had to wait for the sync.
     pub messages: Vec<Message>,
-    /// Commands that are committed now, in the order of the log.
+    /// Newly committed commands, in log order.
     pub applied: Vec<AppliedCommand<M>>,
-    /// Read requests that a majority has acknowledged; see [`Voter::read_index`](crate::Voter::read_index).
+    /// Read requests that may be answered now; see [`Voter::read_index`](crate::Voter::read_index).
     pub acknowledged_reads: Vec<u64>,
-    /// A leader's snapshot has replaced the state.
+    /// Whether a snapshot from the leader has replaced the state.
     pub snapshot_restored: bool,
-    /// To be synced without haste: until then the stored log is only longer than necessary.
+    /// May be synced at any later time: until then the stored log is merely longer than necessary.
     pub compaction: StorageUpdate,
 }
 
@@ -41,15 +41,15 @@
     }
 }
 
-/// A committed command.
+/// A committed command and its outcome.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AppliedCommand<M: StateMachine> {
-    /// Its index in the log.
+    /// Index of its log entry.
     pub index: u64,
-    /// Who submitted it as which command; `None` for the leader's own proposals.
+    /// The client's id for the command; `None` for the leader's own proposals.
     pub id: Option<CommandId>,
     /// The command.
     pub command: M::Command,
-    /// Its outcome; `None` if it was a duplicate or stale, and so not applied.
+    /// Its outcome; `None` if it was a duplicate or stale and therefore not applied.
     pub outcome: Option<M::Outcome>,
 }
--- a/core/consensus/src/records.rs
+++ b/core/consensus/src/records.rs
@@ -1,76 +1,77 @@
-//! What a store keeps of a voter, and the updates that it has to sync.
+//! The persistent state of a voter, and the updates that its store has to sync.
 
 use serde::{Deserialize, Serialize};
 
 use crate::VoterId;
 
-/// One entry of the log.
+/// One log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogEntry {
     /// Term of the leader that proposed it.
     pub term: u64,
     /// Position in the log, from 1.
     pub index: u64,
-    /// An encoded command; empty for an entry without one, or for a change of voters.
+    /// The encoded command; empty for an entry without a command and for a membership change.
     pub data: Vec<u8>,
-    /// An encoded change of voters; `None` for a normal entry.
+    /// The encoded membership change; `None` for a normal entry.
     pub voter_change: Option<Vec<u8>>,
 }
 
-/// Raft's hard state: synced before a vote is sent.
+/// Raft's hard state, which is synced before a vote is sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HardState {
     /// Highest term that this voter has seen.
     pub term: u64,
-    /// Whom it voted for in that term; 0 for nobody.
+    /// Id of the voter that it voted for in that term; 0 for none.
     pub vote: u64,
     /// Index of the last entry that it knows to be committed.
     pub commit: u64,
 }
 
-/// The voters at an index; during a change both the coming and the going ones.
+/// The voters as of a log index. During a membership change (joint consensus) there are two sets.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VoterSet {
-    /// The voters, or those after the change.
+    /// The current voters or, during a change, the voters after it.
     pub incoming: Vec<VoterId>,
-    /// The voters before the change; empty if none is in progress.
+    /// The voters before the change; empty if no change is in progress.
     pub outgoing: Vec<VoterId>,
-    /// The change ends by itself once it is committed.
+    /// Whether the joint configuration is left automatically once the change is committed.
     pub auto_leave: bool,
 }
 
-/// The whole state up to an index.
+/// The whole state as of a log index.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// Index of the last entry that is in it.
+    /// Index of the last entry that it includes.
     pub index: u64,
     /// Term of that entry.
     pub term: u64,
     /// The voters at that index.
     pub voters: VoterSet,
-    /// The encoded state machine with its sessions.
+    /// The encoded state machine and client sessions.
     pub data: Vec<u8>,
 }
 
-/// A snapshot that was made here, after which the beginning of the log can go.
+/// A snapshot taken by this voter, which allows the beginning of the log to be discarded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Compaction {
     /// The new snapshot.
     pub snapshot: Snapshot,
-    /// First index that the log still needs.
+    /// First index that the log retains.
     pub first_index: u64,
 }
 
-/// What has to be on stable storage before anything that depends on it is sent: in the order of the fields, as one transaction.
+/// Changes that must be on stable storage before any message that depends on them is sent. They are applied in the
+/// order of the fields, as one transaction.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StorageUpdate {
-    /// Replaces everything, the log included.
+    /// Replaces the stored snapshot and deletes all log entries.
     pub snapshot: Option<Snapshot>,
-    /// Replace all entries from the index of the first one on.
+    /// Appended to the log, replacing any existing entries from the first index on.
     pub entries: Vec<LogEntry>,
     /// Replaces the hard state.
     pub hard_state: Option<HardState>,
-    /// Cuts the beginning of the log.
+    /// Replaces the snapshot and discards the beginning of the log.
     pub compaction: Option<Compaction>,
 }
 
@@ -81,19 +82,20 @@
     }
 }
 
-/// The content of a store, as it is read at a start.
+/// The log state that is read from a store at startup.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StoredLog {
-    /// The last hard state.
+    /// The latest hard state.
     pub hard_state: HardState,
-    /// The last snapshot; index 0 if there is none.
+    /// The latest snapshot; index 0 if there is none.
     pub snapshot: Snapshot,
-    /// The entries, without a gap.
+    /// The log entries, without gaps.
     pub entries: Vec<LogEntry>,
 }
 
 impl StoredLog {
-    /// Whether the parts fit together: the log has no gap and begins at the snapshot or before its end.
+    /// Whether the parts are consistent: the log has no gap, overlaps or directly follows the snapshot, and reaches at
+    /// least to the end of the snapshot and to the commit index.
     pub fn is_consistent(&self) -> bool {
         let first = self.entries.first().map_or(self.snapshot.index + 1, |e| e.index);
         let contiguous = self.entries.iter().zip(first..).all(|(entry, index)| entry.index == index);
@@ -102,7 +104,7 @@
         contiguous && joins_snapshot && self.hard_state.commit <= last
     }
 
-    /// Applies an update; for stores in memory, and for those that read it back.
+    /// Applies an update to this copy, as a store applies it to its file.
     pub fn apply(&mut self, update: &StorageUpdate) {
         if let Some(snapshot) = &update.snapshot {
             self.entries.clear();
--- a/core/consensus/src/voter.rs
+++ b/core/consensus/src/voter.rs
@@ -1,4 +1,4 @@
-//! One voter: Raft, its log, and the state machine that the log drives.
+//! One voter: a Raft node, its log, and the state machine that applies the log.
 
 use raft::prelude::{ConfChangeV2, Entry, Message as RaftMessage};
 use raft::{Config, RawNode, ReadState, SnapshotStatus, StateRole};
@@ -15,60 +15,61 @@
 use crate::sessions::{CommandId, CommandStatus, Sessions};
 use crate::{StateMachine, VoterId};
 
-/// Ticks without word from a leader before an election.
+/// Election timeout: ticks without a message from a leader before an election.
 const ELECTION_TIMEOUT_TICKS: usize = 10;
 const HEARTBEAT_INTERVAL_TICKS: usize = 2;
-/// Ticks by which the election time-outs of two voters differ, by rank: two never campaign at the same moment for ever.
+/// Difference between the election timeouts of two voters of adjacent rank, so that two voters cannot keep campaigning
+/// at the same moment.
 const ELECTION_TIMEOUT_STEP_TICKS: usize = 4;
-/// Entries after which a snapshot is made and the log is cut.
+/// Number of applied entries after which a snapshot is taken and the log is compacted.
 const SNAPSHOT_INTERVAL_ENTRIES: u64 = 1024;
-/// Entries before the snapshot that are kept for followers that are a little behind.
+/// Number of entries before the snapshot that are retained for followers that lag slightly.
 const RETAINED_ENTRIES: u64 = 128;
-/// Bytes that may wait to be committed; further proposals are rejected.
+/// Maximum size of uncommitted proposals; further ones are rejected.
 const MAX_UNCOMMITTED_BYTES: u64 = 4 << 20;
 const MAX_APPEND_BYTES: u64 = 48 << 10;
 const MAX_INFLIGHT_APPENDS: usize = 64;
-/// Ticks after which a snapshot that was sent and not acknowledged counts as lost.
+/// Ticks after which a snapshot that was sent but not acknowledged is considered lost.
 const SNAPSHOT_TIMEOUT_TICKS: u64 = 20;
 
-/// Where a voter stands in its term.
+/// The role of a voter in its current term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// It follows a leader, or waits for one.
+    /// It follows a leader or waits for one.
     Follower,
-    /// It asks for votes.
+    /// It is requesting votes.
     Candidate,
-    /// Elected, and it has committed an entry of its own term: it knows everything that was committed before.
+    /// Elected, and it has applied an entry of its own term: it knows everything that was committed before.
     Leader,
-    /// Elected, and it has committed nothing of its own term yet.
+    /// Elected, but it has not applied any entry of its own term yet.
     UnconfirmedLeader,
 }
 
-/// Why a voter can't be started from its store.
+/// Why a voter cannot be started from its store.
 #[derive(Debug, thiserror::Error)]
 pub enum RestoreError {
-    /// The log has a gap, or does not fit its snapshot.
-    #[error("the log in the store has a hole, or does not fit its state")]
+    /// The log has a gap or does not match its snapshot.
+    #[error("the stored log has a gap or does not match its snapshot")]
     InconsistentLog,
-    /// The snapshot is not one of this state machine.
-    #[error("the state in the store can't be read")]
+    /// The snapshot is not a valid encoding of this state machine.
+    #[error("the stored snapshot cannot be decoded")]
     UnreadableSnapshot,
-    /// The `raft` crate rejects it.
+    /// The `raft` crate rejected the stored state.
     #[error(transparent)]
     Raft(#[from] raft::Error),
 }
 
-/// Why a proposal was rejected; nothing was written for it.
+/// Why a proposal was rejected. Nothing was written to the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProposalError {
-    /// This voter does not lead.
+    /// This voter is not the leader.
     #[error("this voter is not the leader")]
     NotLeader,
-    /// Too much waits to be committed, or the proposal is too large.
-    #[error("the log has no room for the proposal")]
+    /// There is too much uncommitted data, or the proposal is too large.
+    #[error("the proposal is too large or too much is uncommitted")]
     LogFull,
-    /// Another change of voters is in progress.
-    #[error("a change of voters is in progress")]
+    /// Another membership change is in progress.
+    #[error("another membership change is in progress")]
     VoterChangeInProgress,
 }
 
@@ -78,10 +79,10 @@
     command: C,
 }
 
-/// The data of a snapshot.
+/// The decoded form of [`Snapshot::data`].
 #[derive(Serialize, Deserialize)]
 struct SnapshotData<O> {
-    machine: Vec<u8>,
+    state_machine: Vec<u8>,
     sessions: Sessions<O>,
 }
 
@@ -92,22 +93,23 @@
 
 struct AcknowledgedRead {
     request: u64,
-    /// What has to be applied before the request may be answered.
+    /// The log must be applied up to this index before the request may be answered.
     commit_index: u64,
 }
 
-/// One voter of the replicated log. It does no I/O: messages, ticks and synced storage are inputs.
+/// One voter of the replicated log. It performs no I/O: messages, ticks and completed syncs are its inputs.
 pub struct Voter<M: StateMachine> {
     id: VoterId,
     node: RawNode<MemoryLog>,
-    machine: M,
+    state_machine: M,
     sessions: Sessions<M::Outcome>,
     applied: LogPosition,
     ticks: u64,
     snapshots_in_flight: Vec<SnapshotInFlight>,
-    /// Acknowledged, but what they may read is not applied yet.
-    waiting_reads: Vec<AcknowledgedRead>,
-    /// The voters have changed since the last snapshot, which would not admit a new one.
+    /// Reads acknowledged by a majority whose commit index is not applied yet.
+    unapplied_reads: Vec<AcknowledgedRead>,
+    /// Whether the voters have changed since the last snapshot. A snapshot from before the change would not let a newly
+    /// added voter join.
     voters_changed: bool,
 }
 
@@ -117,13 +119,13 @@
     }
 }
 
-/// The snapshot that the first voters of a cluster begin with: an empty state, and themselves as voters.
+/// The initial store snapshot_data of a new cluster's voters: a snapshot of the empty state with these voters.
 pub fn initial_snapshot<M: StateMachine>(voters: &[VoterId]) -> StorageUpdate {
     let mut incoming = voters.to_vec();
     incoming.sort();
     let sessions: Sessions<M::Outcome> = Sessions::default();
-    let content = SnapshotData { machine: M::default().snapshot(), sessions };
-    let data = postcard::to_allocvec(&content).unwrap_or_default();
+    let snapshot_data = SnapshotData { state_machine: M::default().snapshot(), sessions };
+    let data = postcard::to_allocvec(&snapshot_data).unwrap_or_default();
     let voters = VoterSet { incoming, ..VoterSet::default() };
     StorageUpdate {
         snapshot: Some(Snapshot { index: 1, term: 1, voters, data }),
@@ -133,64 +135,64 @@
 }
 
 impl<M: StateMachine> Voter<M> {
-    /// Starts from what the store has; with an empty one it waits until the others admit it.
+    /// Creates a voter from its stored log. With an empty log it waits until the other voters add it.
     ///
     /// # Errors
-    /// If the store's content does not fit together or can't be read.
+    /// If the stored log is inconsistent or its snapshot cannot be decoded.
     pub fn restore(id: VoterId, stored: StoredLog) -> Result<Voter<M>, RestoreError> {
         if !stored.is_consistent() {
             return Err(RestoreError::InconsistentLog);
         }
         let snapshot = &stored.snapshot;
-        let (machine, sessions) = decode_snapshot(snapshot).ok_or(RestoreError::UnreadableSnapshot)?;
+        let (state_machine, sessions) = decode_snapshot(snapshot).ok_or(RestoreError::UnreadableSnapshot)?;
         let applied = LogPosition { index: snapshot.index, term: snapshot.term };
         let config = raft_config(id, snapshot);
-        let no_logger = slog::Logger::root(slog::Discard, slog::o!());
-        let node = RawNode::new(&config, MemoryLog::new(stored), &no_logger)?;
+        let silent_logger = slog::Logger::root(slog::Discard, slog::o!());
+        let node = RawNode::new(&config, MemoryLog::new(stored), &silent_logger)?;
         Ok(Voter {
             id,
             node,
-            machine,
+            state_machine,
             sessions,
             applied,
             ticks: 0,
             snapshots_in_flight: Vec::new(),
-            waiting_reads: Vec::new(),
+            unapplied_reads: Vec::new(),
             voters_changed: false,
         })
     }
 
-    /// Its id.
+    /// The id of this voter.
     pub fn id(&self) -> VoterId {
         self.id
     }
 
-    /// The state up to [`Voter::applied_index`].
-    pub fn machine(&self) -> &M {
-        &self.machine
+    /// The state machine, as of [`Voter::applied_index`].
+    pub fn state_machine(&self) -> &M {
+        &self.state_machine
     }
 
-    /// Highest term that it has seen.
+    /// The highest term that it has seen.
     pub fn term(&self) -> u64 {
         self.node.raft.term
     }
 
-    /// Index of the last command that was applied.
+    /// Index of the last applied entry.
     pub fn applied_index(&self) -> u64 {
         self.applied.index
     }
 
-    /// Whether every entry of its log has been applied.
-    pub fn is_idle(&self) -> bool {
+    /// Whether every entry of the log has been applied.
+    pub fn is_fully_applied(&self) -> bool {
         self.node.raft.raft_log.last_index() == self.applied.index
     }
 
-    /// Number of entries that the log holds.
+    /// Number of entries in the log.
     pub fn log_len(&self) -> usize {
         self.node.store().len()
     }
 
-    /// Its role in its term.
+    /// The voter's role in its current term.
     pub fn role(&self) -> Role {
         match self.node.raft.state {
             StateRole::Follower => Role::Follower,
@@ -200,17 +202,17 @@
         }
     }
 
-    /// Who leads, as far as it is known here.
+    /// The current leader, if this voter knows it.
     pub fn leader(&self) -> Option<VoterId> {
         Some(self.node.raft.leader_id).filter(|id| *id != 0).map(VoterId)
     }
 
-    /// The voters of the cluster.
+    /// The current voters of the cluster.
     pub fn voters(&self) -> VoterSet {
         voters_from_raft(&self.node.raft.prs().conf().to_conf_state())
     }
 
-    /// One tick of the clock that decides when a leader is missed.
+    /// Advances the logical clock of elections and heartbeats by one tick.
     pub fn tick(&mut self) {
         self.ticks += 1;
         self.report_lost_snapshots();
@@ -227,12 +229,12 @@
         }
     }
 
-    /// Starts an election at once, without waiting for a time-out; for the first voter of a new log.
+    /// Starts an election without waiting for the election timeout; used by the first voter of a new log.
     pub fn campaign(&mut self) {
         let _ = self.node.campaign();
     }
 
-    /// Takes a peer's message. One for another voter, or that no voter sends, is dropped.
+    /// Handles a message from a peer. A malformed message, or one for another voter, is dropped.
     pub fn on_message(&mut self, message: Message) {
         if message.to != self.id || message.from == self.id {
             return;
@@ -242,15 +244,15 @@
         }
     }
 
-    /// What is known here of a command that was submitted.
+    /// Whether this voter has already applied the command.
     pub fn command_status(&self, id: CommandId) -> CommandStatus<M::Outcome> {
         self.sessions.status(id)
     }
 
-    /// Proposes a command for the log; `id` is `None` for the leader's own proposals, which are not deduplicated.
+    /// Proposes a command. `id` is `None` for the leader's own proposals, which are not deduplicated.
     ///
     /// # Errors
-    /// If this voter does not lead, or the log has no room.
+    /// If this voter is not the leader, the command is too large, or there is too much uncommitted data.
     pub fn propose(&mut self, id: Option<CommandId>, command: &M::Command) -> Result<(), ProposalError> {
         self.require_leadership()?;
         let proposal = Proposal { id, command };
@@ -261,10 +263,10 @@
         self.node.propose(Vec::new(), data).map_err(|_| ProposalError::LogFull)
     }
 
-    /// Adds and removes voters in one step, which needs a majority of both sets.
+    /// Proposes to add and remove voters in one change, which needs a majority of both the old and the new voters.
     ///
     /// # Errors
-    /// If this voter does not lead, another change is in progress, or the log has no room.
+    /// If this voter is not the leader, another change is in progress, or there is too much uncommitted data.
     pub fn change_voters(&mut self, add: Vec<VoterId>, remove: Vec<VoterId>) -> Result<(), ProposalError> {
         self.require_leadership()?;
         if self.node.raft.has_pending_conf() || !self.voters().outgoing.is_empty() {
@@ -283,20 +285,20 @@
         }
     }
 
-    /// Begins a linearizable read: `request` comes back in [`Progress::acknowledged_reads`] once a majority has acknowledged
-    /// this leader and everything that was committed before is applied. It may never come.
+    /// Starts a linearizable read: `request` is returned in [`Progress::acknowledged_reads`] once a majority has
+    /// confirmed this leader and everything that was committed before the call is applied. It may never be returned.
     pub fn read_index(&mut self, request: u64) {
         if self.role() == Role::Leader {
             self.node.read_index(request.to_le_bytes().to_vec());
         }
     }
 
-    /// Hands leadership to another voter, as before this machine goes into maintenance.
+    /// Starts a transfer of leadership to another voter, for example before maintenance of this machine.
     pub fn transfer_leadership(&mut self, to: VoterId) {
         self.node.transfer_leader(to.0);
     }
 
-    /// What has to be synced and sent next, if anything.
+    /// Returns what has to be synced and sent next, if anything.
     pub fn ready(&mut self) -> Option<Ready> {
         if !self.node.has_ready() {
             return None;
@@ -307,8 +309,8 @@
         let snapshot = (!ready.snapshot().is_empty()).then(|| snapshot_from_raft(ready.snapshot()));
         let entries = ready.entries().iter().map(entry_from_raft).collect();
         let hard_state = ready.hs().map(|h| HardState { term: h.term, vote: h.vote, commit: h.commit });
-        let synced_state = hard_state.filter(|_| ready.must_sync());
-        let update = StorageUpdate { snapshot, entries, hard_state: synced_state, compaction: None };
+        let hard_state_to_sync = hard_state.filter(|_| ready.must_sync());
+        let update = StorageUpdate { snapshot, entries, hard_state: hard_state_to_sync, compaction: None };
         Some(Ready { messages, update, hard_state, raft: ready })
     }
 
@@ -321,11 +323,11 @@
         messages
     }
 
-    /// Goes on after [`Ready::update`] was synced.
+    /// Continues after [`Ready::update`] has been synced.
     pub fn advance(&mut self, ready: Ready) -> Progress<M> {
         let Ready { update, hard_state, mut raft, .. } = ready;
         let mut progress = Progress::default();
-        self.note_acknowledged_reads(raft.take_read_states());
+        self.queue_acknowledged_reads(raft.take_read_states());
         if let Some(snapshot) = update.snapshot {
             self.restore_snapshot(snapshot);
             progress.snapshot_restored = true;
@@ -337,9 +339,9 @@
         }
         let messages = raft.take_persisted_messages();
         progress.messages = self.convert_outgoing(&messages);
-        self.apply_all(raft.take_committed_entries(), &mut progress.applied);
+        self.apply_entries(raft.take_committed_entries(), &mut progress.applied);
         self.advance_raft(raft, &mut progress);
-        progress.acknowledged_reads = self.take_readable();
+        progress.acknowledged_reads = self.take_answerable_reads();
         progress.compaction = self.compact();
         progress
     }
@@ -351,38 +353,39 @@
         }
         let messages = light_ready.take_messages();
         progress.messages.extend(self.convert_outgoing(&messages));
-        self.apply_all(light_ready.take_committed_entries(), &mut progress.applied);
+        self.apply_entries(light_ready.take_committed_entries(), &mut progress.applied);
         self.node.advance_apply();
     }
 
     fn restore_snapshot(&mut self, snapshot: Snapshot) {
-        if let Some((machine, sessions)) = decode_snapshot(&snapshot) {
-            self.machine = machine;
+        if let Some((state_machine, sessions)) = decode_snapshot(&snapshot) {
+            self.state_machine = state_machine;
             self.sessions = sessions;
         }
         self.applied = LogPosition { index: snapshot.index, term: snapshot.term };
         self.node.mut_store().restore(snapshot);
     }
 
-    fn note_acknowledged_reads(&mut self, states: Vec<ReadState>) {
+    fn queue_acknowledged_reads(&mut self, states: Vec<ReadState>) {
         for state in states {
             let Ok(request) = state.request_ctx.try_into() else { continue };
             let request = u64::from_le_bytes(request);
-            self.waiting_reads.push(AcknowledgedRead { request, commit_index: state.index });
+            self.unapplied_reads.push(AcknowledgedRead { request, commit_index: state.index });
         }
     }
 
-    /// Reads whose commit index has been applied: an answer may use everything that was committed when its read began.
-    fn take_readable(&mut self) -> Vec<u64> {
+    /// Takes the reads whose commit index has been applied, so that an answer sees everything that was committed when
+    /// its read started.
+    fn take_answerable_reads(&mut self) -> Vec<u64> {
         let applied = self.applied.index;
-        let waiting = std::mem::take(&mut self.waiting_reads);
-        let (readable, waiting): (Vec<_>, Vec<_>) =
+        let waiting = std::mem::take(&mut self.unapplied_reads);
+        let (answerable, waiting): (Vec<_>, Vec<_>) =
             waiting.into_iter().partition(|read| read.commit_index <= applied);
-        self.waiting_reads = waiting;
-        readable.into_iter().map(|read| read.request).collect()
+        self.unapplied_reads = waiting;
+        answerable.into_iter().map(|read| read.request).collect()
     }
 
-    fn apply_all(&mut self, entries: Vec<Entry>, applied: &mut Vec<AppliedCommand<M>>) {
+    fn apply_entries(&mut self, entries: Vec<Entry>, applied: &mut Vec<AppliedCommand<M>>) {
         for entry in entries {
             self.applied = LogPosition { index: entry.index, term: entry.term };
             if is_voter_change(&entry) {
@@ -394,7 +397,7 @@
     }
 
     fn apply_voter_change(&mut self, entry: &Entry) {
-        // The crate ends a change of two steps by an entry without context.
+        // The `raft` crate leaves a joint configuration by an entry without context.
         let change: VoterChange = postcard::from_bytes(&entry.context).unwrap_or_default();
         let change = if entry.context.is_empty() { ConfChangeV2::default() } else { change.to_raft() };
         let _ = self.node.apply_conf_change(&change);
@@ -408,23 +411,24 @@
         let proposal: Proposal<M::Command> = postcard::from_bytes(&entry.data).ok()?;
         let Proposal { id, command } = proposal;
         let is_new = id.is_none_or(|id| self.sessions.status(id) == CommandStatus::New);
-        let outcome = is_new.then(|| self.machine.apply(&command));
+        let outcome = is_new.then(|| self.state_machine.apply(&command));
         if let (Some(id), Some(outcome)) = (id, &outcome) {
             self.sessions.record(id, outcome.clone());
         }
         Some(AppliedCommand { index: entry.index, id, command, outcome })
     }
 
-    /// Makes a snapshot and cuts the log where that has grown long.
+    /// Takes a snapshot and compacts the log if it has grown long or the voters have changed.
     fn compact(&mut self) -> StorageUpdate {
         let LogPosition { index, term } = self.applied;
-        let due = self.node.store().snapshot.index + SNAPSHOT_INTERVAL_ENTRIES;
-        if index < due && !self.voters_changed {
+        let next_snapshot_index = self.node.store().snapshot.index + SNAPSHOT_INTERVAL_ENTRIES;
+        if index < next_snapshot_index && !self.voters_changed {
             return StorageUpdate::default();
         }
         self.voters_changed = false;
-        let content = SnapshotData { machine: self.machine.snapshot(), sessions: self.sessions.clone() };
-        let Ok(data) = postcard::to_allocvec(&content) else { return StorageUpdate::default() };
+        let snapshot_data =
+            SnapshotData { state_machine: self.state_machine.snapshot(), sessions: self.sessions.clone() };
+        let Ok(data) = postcard::to_allocvec(&snapshot_data) else { return StorageUpdate::default() };
         let snapshot = Snapshot { index, term, voters: self.voters(), data };
         let first_index = index.saturating_sub(RETAINED_ENTRIES) + 1;
         let compaction = Compaction { snapshot, first_index };
@@ -437,8 +441,8 @@
     if snapshot.index == 0 {
         return Some((M::default(), Sessions::default()));
     }
-    let content: SnapshotData<M::Outcome> = postcard::from_bytes(&snapshot.data).ok()?;
-    Some((M::restore(&content.machine)?, content.sessions))
+    let snapshot_data: SnapshotData<M::Outcome> = postcard::from_bytes(&snapshot.data).ok()?;
+    Some((M::restore(&snapshot_data.state_machine)?, snapshot_data.sessions))
 }
 
 fn raft_config(id: VoterId, snapshot: &Snapshot) -> Config {
@@ -450,7 +454,7 @@
         id: id.0,
         election_tick: ELECTION_TIMEOUT_TICKS,
         heartbeat_tick: HEARTBEAT_INTERVAL_TICKS,
-        // The crate draws from this range: with one value in it, two runs of a seed are the same.
+        // The crate draws the timeout at random from this range. A single value keeps simulations reproducible.
         min_election_tick: election_timeout,
         max_election_tick: election_timeout + 1,
         applied: snapshot.index,
--- a/core/consensus/tests/golden.rs
+++ b/core/consensus/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Encodings of the replicated log that voters send each other and keep on disk.
+//! Checks that the encodings of messages between voters and of stored log records do not change.
 
 use elmtide_consensus::message::MessageKind;
 use elmtide_consensus::records::{HardState, LogEntry, Snapshot, StorageUpdate, StoredLog, VoterSet};
@@ -11,7 +11,7 @@
     GoldenFile::new(format!("{}/tests/golden/{name}", env!("CARGO_MANIFEST_DIR")))
 }
 
-/// A state machine that adds numbers up.
+/// A state machine that sums numbers.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct Sum(u64);
 
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn each_kind_of_message_keeps_its_encoding() {
+fn every_message_kind_keeps_its_encoding() {
     let mut file = golden("messages.txt");
     let kinds = [
         ("append", MessageKind::Append),
@@ -90,18 +90,18 @@
         file.value(name, &entry);
     }
     file.value("snapshot", &snapshot());
-    let first = initial_snapshot::<Sum>(&[VoterId(12), VoterId(11)]);
-    file.value("first_snapshot", &first.snapshot.expect("the first voters begin with a snapshot"));
+    let initial = initial_snapshot::<Sum>(&[VoterId(12), VoterId(11)]);
+    file.value("first_snapshot", &initial.snapshot.expect("the initial store content has a snapshot"));
     file.value("command_id", &CommandId { client: 3, incarnation: 5, sequence: 9 });
     file.check();
 }
 
-/// A log of one voter, which commits all that it proposes.
+/// A cluster of one voter, which commits everything that it proposes.
 struct SingleVoter {
     voter: Voter<Sum>,
     store: StoredLog,
     entries: Vec<LogEntry>,
-    compacted: Option<Snapshot>,
+    last_compaction_snapshot: Option<Snapshot>,
 }
 
 impl SingleVoter {
@@ -110,7 +110,7 @@
         store.apply(&initial_snapshot::<Sum>(&[VoterId(11)]));
         let mut voter = Voter::restore(VoterId(11), store.clone()).unwrap();
         voter.campaign();
-        let mut single = SingleVoter { voter, store, entries: Vec::new(), compacted: None };
+        let mut single = SingleVoter { voter, store, entries: Vec::new(), last_compaction_snapshot: None };
         single.sync();
         single
     }
@@ -126,14 +126,14 @@
     fn write(&mut self, update: &StorageUpdate) {
         self.entries.extend(update.entries.iter().cloned());
         if let Some(compaction) = &update.compaction {
-            self.compacted = Some(compaction.snapshot.clone());
+            self.last_compaction_snapshot = Some(compaction.snapshot.clone());
         }
         self.store.apply(update);
     }
 }
 
 #[test]
-fn proposals_and_the_snapshot_with_its_sessions_keep_their_encoding() {
+fn proposals_and_snapshots_with_sessions_keep_their_encoding() {
     let mut single = SingleVoter::start();
     for seq in 1..=3 {
         single
@@ -148,18 +148,22 @@
     for entry in &single.entries {
         file.value(&format!("entry_{}", entry.index), entry);
     }
-    // A change of voters is followed by a snapshot.
+    // A snapshot is taken after every membership change.
     single.voter.change_voters(vec![VoterId(12)], vec![]).unwrap();
     single.sync();
-    let change = single.entries.iter().find(|e| e.voter_change.is_some()).expect("an entry of the change");
+    let change = single
+        .entries
+        .iter()
+        .find(|e| e.voter_change.is_some())
+        .expect("a log entry with the membership change");
     file.value("entry_of_a_change", change);
-    let snapshot = single.compacted.expect("a snapshot after a change of voters");
+    let snapshot = single.last_compaction_snapshot.expect("a snapshot after the membership change");
     file.value("snapshot", &snapshot);
     file.check();
 
     let store = StoredLog { snapshot, ..StoredLog::default() };
     let voter: Voter<Sum> = Voter::restore(VoterId(11), store).unwrap();
-    assert_eq!(voter.machine(), &Sum(101 + 102 + 103 + 7));
+    assert_eq!(voter.state_machine(), &Sum(101 + 102 + 103 + 7));
     assert_eq!(
         voter.command_status(CommandId { client: 4, incarnation: 2, sequence: 3 }),
         CommandStatus::Duplicate(306)
--- a/core/fleet/src/node/bootstrap.rs
+++ b/core/fleet/src/node/bootstrap.rs
@@ -33,7 +33,7 @@
                 needs_reply: false,
             };
         };
-        let agreed = active.voter.machine().budgets.account(to);
+        let agreed = active.voter.state_machine().budgets.account(to);
         let agreed_incarnation = agreed.map_or(0, |account| account.latest_incarnation.0);
         VoterHello {
             voter: Some(active.voter.id()),
--- a/core/fleet/src/node/leadership.rs
+++ b/core/fleet/src/node/leadership.rs
@@ -196,12 +196,12 @@
 impl ActiveVoter {
     fn plan(&mut self, input: &PlanInput) -> LeaderPlan {
         // What is in progress is waited for: it would only be proposed again.
-        if !self.voter.is_idle() {
+        if !self.voter.is_fully_applied() {
             let voter_replacement = self.plan_voters(input, &mut Vec::new());
             return LeaderPlan { voter_replacement, ..LeaderPlan::default() };
         }
         let Some(leadership) = &mut self.leadership else { return LeaderPlan::default() };
-        let agreed = self.voter.machine();
+        let agreed = self.voter.state_machine();
         let mut plan =
             LeaderPlan { commands: outdated_settings(agreed, input.settings), ..LeaderPlan::default() };
         plan.budget_commands = leadership.allocator.propose(&agreed.budgets, input.now.monotonic);
@@ -214,7 +214,7 @@
     /// Assigns voters to fronts, and replaces one voter at a time whose store or whose front is another one now.
     fn plan_voters(&self, input: &PlanInput, commands: &mut Vec<AgreedCommand>) -> Option<VoterReplacement> {
         let current = self.voter.voters().incoming;
-        let agreed = self.voter.machine();
+        let agreed = self.voter.state_machine();
         let is_list_current = agreed.budgets.front_list_version() == input.settings.version;
         let own = VotingFront { front: input.own, voter: self.voter.id() };
         let mut replacement = None;
@@ -273,7 +273,7 @@
 
     fn holders_to_notify(&mut self) -> Vec<HolderId> {
         let Some(leadership) = &mut self.leadership else { return Vec::new() };
-        let agreed = self.voter.machine();
+        let agreed = self.voter.state_machine();
         let mut holders = leadership.allocator.holders_to_notify(&agreed.budgets);
         if agreed.maintenance.version() > 0 {
             holders.extend(leadership.maintenance.holders_to_notify(&agreed.maintenance));
@@ -286,7 +286,7 @@
 
     fn accept_lease_request(&mut self, request: LeaseRequest, reports: Reports, now: Clocks) {
         let Some(leadership) = &mut self.leadership else { return };
-        let agreed = self.voter.machine();
+        let agreed = self.voter.state_machine();
         let holder = request.holder;
         if let Some(report) = reports.maintenance {
             leadership.maintenance.on_report(&agreed.maintenance, holder, report, now.monotonic);
--- a/core/fleet/src/node/replication.rs
+++ b/core/fleet/src/node/replication.rs
@@ -189,7 +189,7 @@
     fn answer_reads(&mut self, reads: &[u64], now: Clocks) -> Vec<(LeaseResponse, Views)> {
         let VoterState::Active(active) = &mut self.voting else { return Vec::new() };
         let Some(leadership) = &mut active.leadership else { return Vec::new() };
-        let agreed = active.voter.machine();
+        let agreed = active.voter.state_machine();
         let mut answers = Vec::new();
         for read in reads {
             let responses = leadership.allocator.on_read_acknowledged(&agreed.budgets, *read, now.monotonic);
--- a/core/fleet/src/node/status.rs
+++ b/core/fleet/src/node/status.rs
@@ -126,17 +126,17 @@
 
     /// The agreed state of budgets, if this node has one.
     pub fn budgets(&self) -> Option<&BudgetState> {
-        self.active_voter().map(|active| &active.voter.machine().budgets)
+        self.active_voter().map(|active| &active.voter.state_machine().budgets)
     }
 
     /// The agreed state of sites, if this node has one.
     pub fn sites(&self) -> Option<&elmtide_sites::SiteState> {
-        self.active_voter().map(|active| &active.voter.machine().sites)
+        self.active_voter().map(|active| &active.voter.state_machine().sites)
     }
 
     /// The agreed state of machines in maintenance, if this node has one.
     pub fn maintenance(&self) -> Option<&elmtide_maintenance::MaintenanceState> {
-        self.active_voter().map(|active| &active.voter.machine().maintenance)
+        self.active_voter().map(|active| &active.voter.state_machine().maintenance)
     }
 
     /// Who leads, as far as it is known here.
--- a/core/peers/src/identity.rs
+++ b/core/peers/src/identity.rs
@@ -1,23 +1,23 @@
-//! Who a peer is.
+//! The identity under which a front takes part in the SWIM protocol.
 
 use foca::Identity;
 use serde::{Deserialize, Serialize};
 
-/// One incarnation of a front.
+/// Identifies one incarnation of a front.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PeerIdentity {
-    /// The front.
+    /// The id of the front.
     pub front: u64,
-    /// Which run of it.
+    /// The incarnation: raised each time the front starts.
     pub incarnation: u64,
-    /// Raised by a run that others took for dead.
+    /// Raised by an incarnation that others have declared dead, to refute that.
     pub renewal: u32,
-    /// Where it is: a number from the configuration.
+    /// The number of its site in the configuration.
     pub site: u16,
 }
 
 impl PeerIdentity {
-    /// A front of which nothing is known but its id.
+    /// The identity of a front of which only the id is known.
     pub(crate) fn unknown(front: u64) -> PeerIdentity {
         PeerIdentity { front, incarnation: 0, renewal: 0, site: 0 }
     }
--- a/core/peers/src/lib.rs
+++ b/core/peers/src/lib.rs
@@ -1,8 +1,9 @@
-//! Failure detector: which fronts are alive, suspect or dead, by the `foca` crate (SWIM).
+//! Failure detector: tracks which fronts are alive, suspect or dead, using the SWIM protocol of the `foca` crate.
 //!
-//! **Invariant: one front sends at most [`ProbeSettings::max_datagrams_per_period`] datagrams a period, however many fronts there
-//! are.** What is reported is a hint: a stalled front is 'dead' and comes back. No lease is granted, expired or taken over by it;
-//! it only says whom to ask first and what to show. If nobody answers, everyone is 'dead', and nothing else changes.
+//! **Invariant: a front sends at most [`ProbeSettings::max_datagrams_per_period`] datagrams per period, however many
+//! fronts there are.** The reported liveness is only a hint: a stalled front is reported dead and may return. No lease
+//! is granted, expired or taken over because of it; it only decides which front to ask first and what the status
+//! shows. If no front answers, all others are reported dead, and nothing else changes.
 
 #![warn(clippy::needless_pass_by_value, clippy::too_many_lines, clippy::fn_params_excessive_bools)]
 
@@ -21,27 +22,28 @@
 pub use identity::PeerIdentity;
 pub use settings::{ProbeSettings, MAX_DATAGRAM_BYTES};
 
-/// Microseconds of a clock that does not go back.
+/// Time of a monotonic clock, in microseconds.
 pub type Micros = u64;
 
-/// Periods between two announcements to listed fronts once all of them are known; one each period until then.
+/// Periods between two announcements to configured fronts once all of them are known. Until then there is one
+/// announcement per period.
 const ANNOUNCE_INTERVAL_PERIODS: u64 = 20;
 
-/// How a front seems to be.
+/// The liveness of a front, as seen by the failure detector.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Liveness {
-    /// It answers.
+    /// It answers probes.
     Alive,
-    /// It did not answer the last probe.
+    /// It did not answer a recent probe.
     #[serde(rename = "Suspected")]
     Suspect,
-    /// It has not answered for long, or has left.
+    /// It has not answered since it was suspected, or it has left.
     #[serde(rename = "Gone")]
     Dead,
 }
 
 impl Liveness {
-    /// Its name in status output.
+    /// The name in status output.
     pub fn name(self) -> &'static str {
         match self {
             Liveness::Alive => "Alive",
@@ -51,34 +53,34 @@
     }
 }
 
-/// What is known of a front.
+/// What is known about a front.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberStatus {
-    /// How it seems to be.
+    /// Its reported liveness.
     pub liveness: Liveness,
-    /// The latest incarnation that was seen.
+    /// The latest known incarnation.
     pub incarnation: u64,
-    /// Where it is.
+    /// The number of its site in the configuration.
     pub site: u16,
 }
 
 /// A datagram for another front.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OutgoingDatagram {
-    /// The front that it is for.
+    /// The id of the receiving front.
     pub to: u64,
-    /// At most [`MAX_DATAGRAM_BYTES`].
+    /// The payload, at most [`MAX_DATAGRAM_BYTES`] long.
     pub bytes: Vec<u8>,
 }
 
-/// What the `foca` crate wants done, collected.
+/// Collects the datagrams and timers that the `foca` crate requests.
 #[derive(Default)]
-struct PendingActions {
+struct RequestedActions {
     datagrams: Vec<OutgoingDatagram>,
     timers: Vec<(Timer<PeerIdentity>, Duration)>,
 }
 
-impl Runtime<PeerIdentity> for &mut PendingActions {
+impl Runtime<PeerIdentity> for &mut RequestedActions {
     fn notify(&mut self, _: Notification<'_, PeerIdentity>) {}
 
     fn send_to(&mut self, to: PeerIdentity, data: &[u8]) {
@@ -92,51 +94,53 @@
 
 type TimerId = u64;
 
-/// The failure detector of one incarnation of a front. It does no I/O: datagrams and the clock are inputs.
+/// The failure detector of one incarnation of a front. It performs no I/O: datagrams and the time are its inputs.
 pub struct FailureDetector {
     foca: Foca<PeerIdentity, PostcardCodec, ChaCha8Rng, NoCustomBroadcast>,
     timer_queue: BinaryHeap<Reverse<(Micros, TimerId)>>,
     timers: BTreeMap<TimerId, Timer<PeerIdentity>>,
     next_timer: TimerId,
-    pending: PendingActions,
+    requested: RequestedActions,
     outgoing: Vec<OutgoingDatagram>,
-    /// The other fronts of the configuration, announced to in turns.
-    listed: Vec<u64>,
-    next_listed: usize,
-    announce_at: Micros,
+    /// The other fronts of the configuration, to which this front announces itself in turn.
+    configured: Vec<u64>,
+    next_configured: usize,
+    next_announcement: Micros,
     settings: ProbeSettings,
     own: PeerIdentity,
 }
 
 impl FailureDetector {
-    /// `listed` are all fronts of the configuration; the same seed gives the same run.
+    /// Creates the detector. `configured` are the ids of all fronts of the configuration; runs with the same seed and
+    /// inputs are identical.
     pub fn new(
         own: PeerIdentity,
         settings: ProbeSettings,
-        listed: &[u64],
+        configured: &[u64],
         seed: u64,
         now: Micros,
     ) -> FailureDetector {
         let foca = Foca::new(own, settings.foca_config(), ChaCha8Rng::seed_from_u64(seed), PostcardCodec);
-        let listed: Vec<u64> = listed.iter().copied().filter(|front| *front != own.front).collect();
-        let next_listed = if listed.is_empty() { 0 } else { (seed % listed.len() as u64) as usize };
+        let configured: Vec<u64> = configured.iter().copied().filter(|front| *front != own.front).collect();
+        let next_configured =
+            if configured.is_empty() { 0 } else { (seed % configured.len() as u64) as usize };
         FailureDetector {
             foca,
             timer_queue: BinaryHeap::new(),
             timers: BTreeMap::new(),
             next_timer: 0,
-            pending: PendingActions::default(),
+            requested: RequestedActions::default(),
             outgoing: Vec::new(),
-            listed,
-            next_listed,
-            announce_at: now,
+            configured,
+            next_configured,
+            next_announcement: now,
             settings,
             own,
         }
     }
 
-    fn collect_pending(&mut self, now: Micros) {
-        let PendingActions { datagrams, timers } = std::mem::take(&mut self.pending);
+    fn collect_requested(&mut self, now: Micros) {
+        let RequestedActions { datagrams, timers } = std::mem::take(&mut self.requested);
         self.outgoing.extend(datagrams);
         for (timer, after) in timers {
             let due = now + after.as_micros() as Micros;
@@ -146,15 +150,15 @@
         }
     }
 
-    /// Takes a datagram of another front, whose sender has been authenticated.
+    /// Handles a datagram from another front. The caller has authenticated the sender.
     pub fn on_datagram(&mut self, bytes: &[u8], now: Micros) {
         if bytes.len() <= MAX_DATAGRAM_BYTES {
-            let _ = self.foca.handle_data(bytes, &mut self.pending);
-            self.collect_pending(now);
+            let _ = self.foca.handle_data(bytes, &mut self.requested);
+            self.collect_requested(now);
         }
     }
 
-    /// Fires the timers that are due.
+    /// Fires the timers that are due and sends an announcement if one is due.
     pub fn advance_time(&mut self, now: Micros) {
         while let Some(Reverse((due, id))) = self.timer_queue.peek().copied() {
             if due > now {
@@ -162,49 +166,49 @@
             }
             self.timer_queue.pop();
             if let Some(timer) = self.timers.remove(&id) {
-                let _ = self.foca.handle_timer(timer, &mut self.pending);
-                self.collect_pending(now);
+                let _ = self.foca.handle_timer(timer, &mut self.requested);
+                self.collect_requested(now);
             }
         }
-        if now >= self.announce_at && !self.listed.is_empty() {
+        if now >= self.next_announcement && !self.configured.is_empty() {
             self.announce_to_next(now);
         }
     }
 
-    /// Announces this front to the next one of the list. Two that found each other may not have found the others, so this goes
-    /// on, more slowly once all are known.
+    /// Announces this front to the next configured one. Fronts that have found each other may not have found the
+    /// rest, so announcements continue, more slowly, even once all fronts are known.
     fn announce_to_next(&mut self, now: Micros) {
-        let front = self.listed[self.next_listed % self.listed.len()];
-        self.next_listed += 1;
-        let all_known = self.foca.num_members() + 1 >= self.listed.len();
+        let front = self.configured[self.next_configured % self.configured.len()];
+        self.next_configured += 1;
+        let all_known = self.foca.num_members() + 1 >= self.configured.len();
         let interval = if all_known { ANNOUNCE_INTERVAL_PERIODS } else { 1 };
-        self.announce_at = now + self.settings.period * interval;
-        let _ = self.foca.announce(PeerIdentity::unknown(front), &mut self.pending);
-        self.collect_pending(now);
+        self.next_announcement = now + self.settings.period * interval;
+        let _ = self.foca.announce(PeerIdentity::unknown(front), &mut self.requested);
+        self.collect_requested(now);
     }
 
-    /// When [`FailureDetector::advance_time`] has to be called next.
+    /// The time at which [`FailureDetector::advance_time`] has to be called next.
     pub fn next_deadline(&self) -> Micros {
         let timer = self.timer_queue.peek().map_or(Micros::MAX, |Reverse((due, _))| *due);
-        if self.listed.is_empty() {
+        if self.configured.is_empty() {
             timer
         } else {
-            timer.min(self.announce_at)
+            timer.min(self.next_announcement)
         }
     }
 
-    /// Takes the datagrams that are to be sent.
+    /// Takes the datagrams that are waiting to be sent.
     pub fn take_datagrams(&mut self) -> Vec<OutgoingDatagram> {
         std::mem::take(&mut self.outgoing)
     }
 
-    /// Announces that this front leaves, so that the others need not miss it first.
+    /// Announces that this front is leaving, so that the others need not detect its absence first.
     pub fn leave(&mut self, now: Micros) {
-        let _ = self.foca.leave_cluster(&mut self.pending);
-        self.collect_pending(now);
+        let _ = self.foca.leave_cluster(&mut self.requested);
+        self.collect_requested(now);
     }
 
-    /// Every front that has been seen, and this one itself.
+    /// The status of every known front, including this one.
     pub fn members(&self) -> BTreeMap<u64, MemberStatus> {
         let mut members: BTreeMap<u64, MemberStatus> =
             self.foca.iter_membership_state().map(|member| (member.id().front, status_of(member))).collect();
--- a/core/peers/src/settings.rs
+++ b/core/peers/src/settings.rs
@@ -1,4 +1,4 @@
-//! How often fronts probe each other.
+//! Settings of the SWIM protocol: probe period, timeouts and datagram limits.
 
 use std::num::{NonZeroU32, NonZeroU8, NonZeroUsize};
 use std::time::Duration;
@@ -7,31 +7,31 @@
 
 use crate::Micros;
 
-/// Longest datagram, in bytes.
+/// Maximum size of a datagram, in bytes.
 pub const MAX_DATAGRAM_BYTES: usize = 1200;
 
-/// Fronts that are asked to probe one that did not answer.
+/// Number of fronts that are asked to probe a front that did not answer.
 const INDIRECT_PROBES: usize = 2;
-/// Datagrams of one front in a period besides indirect probes and their answers.
-const DIRECT_DATAGRAMS: usize = 16;
-const MAX_TRANSMISSIONS: u8 = 10;
+/// Maximum number of datagrams that a front sends per period, not counting indirect probes and their answers.
+const MAX_DIRECT_DATAGRAMS: usize = 16;
+const MAX_UPDATE_TRANSMISSIONS: u8 = 10;
 const SUSPECT_PERIODS: u32 = 3;
 const DEAD_MEMBER_RETENTION_PERIODS: u32 = 600;
 
 /// How often fronts probe each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProbeSettings {
-    /// One front is probed each period.
+    /// Time between two probes; each probes one front.
     pub period: Micros,
     /// Number of fronts in the configuration.
     pub fronts: usize,
 }
 
 impl ProbeSettings {
-    /// Most datagrams that one front sends in a period: its own probe, probes that it answers (one on average, several by
-    /// chance), probes for others, gossip, announcements.
+    /// Maximum number of datagrams that one front sends per period: its own probe, its answers to probes (one on
+    /// average, sometimes several), indirect probes for others, gossip and announcements.
     pub fn max_datagrams_per_period(&self) -> usize {
-        DIRECT_DATAGRAMS + 2 * INDIRECT_PROBES
+        MAX_DIRECT_DATAGRAMS + 2 * INDIRECT_PROBES
     }
 
     pub(crate) fn foca_config(&self) -> Config {
@@ -41,7 +41,7 @@
         config.probe_period = period;
         config.probe_rtt = period / 3;
         config.num_indirect_probes = non_zero(INDIRECT_PROBES);
-        config.max_transmissions = NonZeroU8::new(MAX_TRANSMISSIONS).unwrap_or(NonZeroU8::MIN);
+        config.max_transmissions = NonZeroU8::new(MAX_UPDATE_TRANSMISSIONS).unwrap_or(NonZeroU8::MIN);
         config.suspect_to_down_after = period * SUSPECT_PERIODS;
         config.remove_down_after = Some(period * DEAD_MEMBER_RETENTION_PERIODS);
         config.max_packet_size = non_zero(MAX_DATAGRAM_BYTES);
--- a/store/src/error.rs
+++ b/store/src/error.rs
@@ -1,36 +1,36 @@
-//! Why a store can't be used.
+//! Errors of opening, reading and writing a store.
 
 use crate::FORMAT_VERSION;
 
-/// Why a store can't be opened, read or written; the text says what an operator does next.
+/// Why a store cannot be opened, read or written. Where an operator can act, the message says how.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// Another process has it open.
-    #[error("another process has the store open: end it first")]
+    /// Another process has the store open.
+    #[error("the store is in use by another process: stop that process first")]
     InUse,
-    /// It belongs to another installation.
-    #[error("the store is of the installation {found:?}: name another file, or take this one away")]
+    /// The store belongs to another installation.
+    #[error("the store belongs to the installation {found:?}: configure another file or remove this one")]
     OtherInstallation {
-        /// The installation that the file names.
+        /// The installation recorded in the file.
         found: String,
     },
-    /// Another version of the program wrote it.
-    #[error("the store is of format {found}, this program knows {FORMAT_VERSION}")]
+    /// The store was written in a format that this version of the program does not support.
+    #[error("the store has format {found}, but this program supports format {FORMAT_VERSION}")]
     UnknownFormat {
-        /// The format that the file names.
+        /// The format recorded in the file.
         found: u32,
     },
-    /// Its content can't be trusted.
-    #[error("the store can't be trusted ({0}): take it away, the front comes back as a new voter")]
+    /// The store's content is corrupt.
+    #[error("the store is corrupt ({0}): remove it, and the front rejoins as a new voter")]
     Corrupt(#[from] Corruption),
     /// The file system or the database failed.
-    #[error("the store can't be read or written: {0}")]
+    #[error("the store cannot be read or written: {0}")]
     Database(#[source] Box<redb::Error>),
-    /// The file that is to take the store's place can't be put there.
-    #[error("the store can't be written anew: {0}")]
+    /// A newly written file could not be moved to the store's path.
+    #[error("the new store file cannot be put in place: {0}")]
     Rewrite(#[source] std::io::Error),
-    /// A record can't be encoded.
-    #[error("the store can't be read or written: {0}")]
+    /// A record cannot be encoded.
+    #[error("a record of the store cannot be encoded: {0}")]
     Encoding(#[from] postcard::Error),
 }
 
@@ -40,28 +40,28 @@
     }
 }
 
-/// What shows that a store's content is not what was written.
+/// Evidence that a store's content is not what was written.
 #[derive(Debug, thiserror::Error)]
 pub enum Corruption {
-    /// A record does not fit its checksum, or can't be decoded.
-    #[error("{record} does not fit its checksum")]
+    /// A record does not match its checksum or cannot be decoded.
+    #[error("the record {record:?} does not match its checksum or cannot be decoded")]
     Checksum {
         /// The record's name.
         record: &'static str,
     },
-    /// The file does not name its format.
-    #[error("it says no format")]
+    /// The format record is missing.
+    #[error("the format record is missing")]
     NoFormat,
-    /// The incarnation is missing.
-    #[error("it has no incarnation")]
+    /// The incarnation record is missing.
+    #[error("the incarnation record is missing")]
     NoIncarnation,
-    /// An entry's index is not the one that it is stored under.
-    #[error("an entry is in another's place")]
+    /// A log entry is stored under an index other than its own.
+    #[error("a log entry is stored under another entry's index")]
     MisplacedEntry,
-    /// The log has a gap, or does not fit its snapshot.
-    #[error("the log has a hole, or does not fit its state")]
+    /// The log has a gap or does not match its snapshot.
+    #[error("the log has a gap or does not match its snapshot")]
     InconsistentLog,
-    /// The database finds its own file corrupt.
+    /// The database detected that its file is corrupt.
     #[error("{0}")]
     Database(#[source] Box<redb::Error>),
 }
--- a/store/src/lib.rs
+++ b/store/src/lib.rs
@@ -1,22 +1,23 @@
-//! Stable storage of a process: the id and the log of a voter, the front's incarnation, its guaranteed minimums.
+//! Durable state of a process: the id and the log of its voter, the front's incarnation, and its guaranteed minimums.
 //!
-//! **Invariant: what a call has reported as written is there after any crash, and a store that can't be trusted is rejected,
-//! never guessed at.** It rests on the file system keeping what it synced, and on `redb` (one file, one process at a time,
-//! transactions). Each record has a checksum of its own besides, the file names its format and its installation, and each
-//! opening raises the incarnation.
+//! **Invariant: data that a call has reported as written survives any crash, and a store that cannot be trusted is
+//! rejected, never repaired by guessing.** This assumes that the file system keeps what it synced, and that `redb`
+//! provides transactions on one file that one process has open at a time. In addition, each record has its own
+//! checksum, the file records its format and its installation, and each opening raises the incarnation.
 //!
-//! | what is found | what is done |
+//! | condition | reaction |
 //! | --- | --- |
-//! | no file, or an empty one | a new store, incarnation 1; where there is no file it is put there once it is whole |
-//! | another process has it open | rejected: [`StoreError::InUse`] |
-//! | of another installation or a later format | rejected, the file is left as it is |
-//! | torn, a record that does not fit its checksum, a log with a gap | rejected: [`StoreError::Corrupt`] |
-//! | a copy from before | not seen here: others have seen a later incarnation, see `elmtide_fleet::Member` |
-//! | full, or failing | the call fails, nothing of it counts as written; nothing more is written by this opening |
-//! | well again | [`Store::rewrite`]: read, and written anew into another file, which takes its place |
+//! | no file, or an empty one | a new store with incarnation 1; a missing file only appears once it is complete |
+//! | open in another process | rejected: [`StoreError::InUse`] |
+//! | another installation, or another format | rejected; the file is left unchanged |
+//! | torn file, wrong checksum of a record, gap in the log | rejected: [`StoreError::Corrupt`] |
+//! | an old copy of the store | not detected here; others know a later incarnation, see `elmtide_fleet::Member` |
+//! | disk full or failing | the call fails, none of its data counts as written; no more writes through this [`Store`] |
+//! | disk working again | [`Store::rewrite`] copies the content to a new file, which replaces the old one |
 //!
-//! After a sync that failed, the system's cache may show as written what the disk never got, and a later sync of the same file
-//! succeeds over it. So a file whose writes have failed is not written on: its content goes whole into a new file.
+//! After a failed sync, the system's cache may show data as written that never reached the disk, and a later sync of
+//! the same file succeeds nevertheless. Therefore a file is not written to after a failed write: its whole content is
+//! written to a new file instead.
 
 mod error;
 mod record;
@@ -42,10 +43,10 @@
 pub(crate) const FORMAT_VERSION: u32 = 1;
 const META_TABLE: TableDefinition<&str, &[u8]> = TableDefinition::new("meta");
 const LOG_TABLE: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
-/// Memory that the database uses to cache its file, in bytes.
+/// Size of the database's cache, in bytes.
 const CACHE_BYTES: usize = 1 << 20;
 
-/// Keys of the meta table.
+/// Record keys of the meta table.
 mod key {
     pub(crate) const FORMAT: &str = "format";
     pub(crate) const INSTALLATION: &str = "installation";
@@ -56,42 +57,45 @@
     pub(crate) const SNAPSHOT: &str = "state";
 }
 
-/// An open store. The file is this process's alone while it is open.
+/// An open store. The file is locked against other processes while it is open.
 pub struct Store {
     database: Database,
     path: PathBuf,
 }
 
 impl Store {
-    /// Opens a store, or creates it, and raises the incarnation, which is synced before this returns.
+    /// Opens or creates a store and raises the incarnation, which is synced before this returns.
     ///
     /// # Errors
-    /// If the file is in use, belongs to another installation or format, can't be trusted, or can't be read or written.
+    /// If the file is in use, belongs to another installation, has another format, is corrupt, or cannot be read or
+    /// written.
     pub fn open(path: &Path, installation: &str) -> Result<(Store, RecoveredState), StoreError> {
         if !path.exists() {
             if let Some(created) = Store::create(path, installation)? {
                 return Ok(created);
             }
-            // Another process was quicker.
+            // Another process has created it in the meantime.
         }
         let database = database_builder().create(path).map_err(open_error)?;
-        Store { database, path: path.to_owned() }.begin(installation)
+        Store { database, path: path.to_owned() }.raise_incarnation(installation)
     }
 
-    /// Creates a store beside its path, and puts it there whole: a process killed in the middle leaves nothing there that would
-    /// be refused later. `None` if there is one by now.
+    /// Creates a store in a temporary file and moves it to its path once it is complete, so that a process killed
+    /// in between leaves nothing at the path that would be rejected later. `None` if another process has created the
+    /// store.
     fn create(path: &Path, installation: &str) -> Result<Option<(Store, RecoveredState)>, StoreError> {
-        let new_path = replacement::new_path(path);
-        let database = database_builder().create(&new_path).map_err(open_error)?;
-        let created = Store { database, path: path.to_owned() }.begin(installation)?;
-        if !replacement::put_if_absent(&new_path, path).map_err(StoreError::Rewrite)? {
+        let temporary_path = replacement::temporary_path(path);
+        let database = database_builder().create(&temporary_path).map_err(open_error)?;
+        let created = Store { database, path: path.to_owned() }.raise_incarnation(installation)?;
+        if !replacement::move_if_absent(&temporary_path, path).map_err(StoreError::Rewrite)? {
             return Ok(None);
         }
         replacement::remove_leftovers(path);
         Ok(Some(created))
     }
 
-    /// Opens a store, or creates it, on storage that is no file: what a disk does in a crash can be simulated by it.
+    /// Opens or creates a store on the given storage instead of a file. Tests use this to simulate the effect of a
+    /// crash on a disk.
     ///
     /// # Errors
     /// As [`Store::open`].
@@ -100,11 +104,11 @@
         installation: &str,
     ) -> Result<(Store, RecoveredState), StoreError> {
         let database = database_builder().create_with_backend(storage).map_err(open_error)?;
-        Store { database, path: PathBuf::new() }.begin(installation)
+        Store { database, path: PathBuf::new() }.raise_incarnation(installation)
     }
 
-    /// Reads what is there, and raises the incarnation.
-    fn begin(self, installation: &str) -> Result<(Store, RecoveredState), StoreError> {
+    /// Reads the content and raises the incarnation.
+    fn raise_incarnation(self, installation: &str) -> Result<(Store, RecoveredState), StoreError> {
         let store = self;
         let mut recovered = store.read(installation)?;
         recovered.incarnation += 1;
@@ -116,27 +120,29 @@
         Ok((store, recovered))
     }
 
-    /// Opens a store whose writes have failed: reads what it has, writes it anew into a file that is synced and takes its place,
-    /// and raises the incarnation. What was reported as written is in it; of a write that has failed, all or nothing.
+    /// Opens a store whose writes have failed: reads its content, writes it to a new, synced file that replaces the
+    /// old one, and raises the incarnation. The new file contains everything that was reported as written, and either
+    /// all or nothing of a write that has failed.
     ///
     /// # Errors
-    /// As [`Store::open`], and if the new file can't take the old one's place. The store is as it was, or the new one already.
+    /// As [`Store::open`], and if the new file cannot replace the old one. The path then holds either the old or the
+    /// complete new store.
     pub fn rewrite(path: &Path, installation: &str) -> Result<(Store, RecoveredState), StoreError> {
-        // Open until the new one is in its place: it keeps other processes out.
+        // Stays open until the new file is in place, which keeps other processes out.
         let old =
             Store { database: database_builder().open(path).map_err(open_error)?, path: path.to_owned() };
         let mut state = old.read(installation)?;
         state.incarnation += 1;
         replacement::remove_leftovers(path);
-        let new_path = replacement::new_path(path);
-        let database = database_builder().create(&new_path).map_err(open_error)?;
+        let temporary_path = replacement::temporary_path(path);
+        let database = database_builder().create(&temporary_path).map_err(open_error)?;
         let new = Store { database, path: path.to_owned() };
         new.write_state(installation, &state)?;
-        replacement::put(&new_path, path).map_err(StoreError::Rewrite)?;
+        replacement::replace(&temporary_path, path).map_err(StoreError::Rewrite)?;
         Ok((new, state))
     }
 
-    /// The whole content of a new file.
+    /// Writes the whole content of a new file.
     fn write_state(&self, installation: &str, state: &RecoveredState) -> Result<(), StoreError> {
         self.write(|transaction| {
             put(transaction, key::FORMAT, &FORMAT_VERSION)?;
@@ -175,7 +181,7 @@
         Ok(state)
     }
 
-    /// One transaction, synced when this returns.
+    /// Runs one write transaction, which is synced when this returns.
     fn write(
         &self,
         change: impl FnOnce(&WriteTransaction) -> Result<(), StoreError>,
@@ -185,10 +191,10 @@
         transaction.commit().map_err(StoreError::database)
     }
 
-    /// Writes an update of the log: all of it, or nothing.
+    /// Writes an update of the log atomically.
     ///
     /// # Errors
-    /// If the file can't be written; the store has its content from before then.
+    /// If the file cannot be written. The store then has its previous content.
     pub fn write_log(&self, update: &StorageUpdate) -> Result<(), StoreError> {
         self.write(|transaction| {
             let mut log = transaction.open_table(LOG_TABLE).map_err(StoreError::database)?;
@@ -216,7 +222,7 @@
     /// Writes the id of the voter that this store belongs to.
     ///
     /// # Errors
-    /// If the file can't be written.
+    /// If the file cannot be written.
     pub fn write_voter_id(&self, voter: VoterId) -> Result<(), StoreError> {
         self.write(|transaction| put(transaction, key::VOTER, &voter))
     }
@@ -224,15 +230,16 @@
     /// Writes the guaranteed minimums that this front may use from now on.
     ///
     /// # Errors
-    /// If the file can't be written.
+    /// If the file cannot be written.
     pub fn write_minimums(&self, minimums: &GuaranteedMinimums) -> Result<(), StoreError> {
         self.write(|transaction| put(transaction, key::MINIMUMS, minimums))
     }
 
-    /// Forgets everything but the installation, and goes on after an incarnation that others have seen.
+    /// Deletes everything except the format and the installation, and continues with an incarnation above one that
+    /// other fronts have seen.
     ///
     /// # Errors
-    /// If the file can't be written.
+    /// If the file cannot be written.
     pub fn reset(&self, seen_incarnation: u64) -> Result<RecoveredState, StoreError> {
         let mut state = empty_state();
         state.incarnation = seen_incarnation + 1;
@@ -249,7 +256,7 @@
         Ok(state)
     }
 
-    /// Where the file is.
+    /// The path of the file.
     pub fn path(&self) -> &Path {
         &self.path
     }
@@ -282,11 +289,11 @@
     RecoveredState { durable: true, ..RecoveredState::default() }
 }
 
-/// The meta table in one read transaction.
+/// The meta table as seen by one read transaction.
 struct MetaRecords(redb::ReadOnlyTable<&'static str, &'static [u8]>);
 
 impl MetaRecords {
-    /// `None` in a new store.
+    /// Opens the table; `None` in a new store.
     fn open(transaction: &ReadTransaction) -> Result<Option<MetaRecords>, Corruption> {
         match transaction.open_table(META_TABLE) {
             Ok(table) => Ok(Some(MetaRecords(table))),
@@ -300,7 +307,7 @@
         record.map(|record| decode(key, record.value())).transpose()
     }
 
-    /// Checks the format before anything else is decoded, then the installation.
+    /// Checks the format, before anything else is decoded, and then the installation.
     fn check_identity(&self, installation: &str) -> Result<(), StoreError> {
         let format: u32 = self.get(key::FORMAT)?.ok_or(Corruption::NoFormat)?;
         if format != FORMAT_VERSION {
@@ -323,7 +330,7 @@
     let mut entries = Vec::new();
     for row in log.iter().map_err(Corruption::database)? {
         let (index, record) = row.map_err(Corruption::database)?;
-        let entry: LogEntry = decode("an entry", record.value())?;
+        let entry: LogEntry = decode("log entry", record.value())?;
         if entry.index != index.value() {
             return Err(Corruption::MisplacedEntry);
         }
