--- a/core/fleet/src/node/leadership.rs
+++ b/core/fleet/src/node/leadership.rs
@@ -308,13 +308,13 @@
         }
         let allocator = &self.allocator;
         let longest_attempt = input.settings.lease.max_request_deadline + WRITE_ALLOWANCE;
-        let drained_at = |holder| allocator.lease_expiry(holder, &agreed.budgets) + longest_attempt;
+        let requests_ended_at = |holder| allocator.lease_expiry(holder, &agreed.budgets) + longest_attempt;
         let clock = MaintenanceClock {
             monotonic: input.now.monotonic,
             wall_ms: input.now.wall / MICROS_PER_MS,
             lease: agreed.budgets.lease(),
-            own: input.own,
-            drained_at: &drained_at,
+            own_front: input.own,
+            requests_ended_at: &requests_ended_at,
         };
         let proposal = self.maintenance.propose(&agreed.maintenance, &clock);
         plan.commands.extend(proposal.commands.into_iter().map(AgreedCommand::Maintenance));
--- a/core/fleet/tests/golden.rs
+++ b/core/fleet/tests/golden.rs
@@ -9,12 +9,12 @@
 use elmtide_fleet::DatagramCodec;
 use elmtide_fleet::{AgreedCommand, AgreedState, CommandOutcome, PeerMessage};
 use elmtide_golden::GoldenFile;
-use elmtide_maintenance::report::{MachineObservation, MaintenanceDetails, ObservedState, WorkOutcome};
+use elmtide_maintenance::report::{AttemptOutcome, MachineObservation, MaintenanceDetails, ObservedState};
 use elmtide_maintenance::WaitReason;
+use elmtide_maintenance::{DisruptedMachine, DisruptionLimit, HostedFront, Job, MachineProgress, Step};
 use elmtide_maintenance::{
     DisruptionBudget, JobId, MachineId, MachineSpec, MaintenanceReport, MaintenanceView, ReturnPolicy, Stage,
 };
-use elmtide_maintenance::{DisruptionLimit, HostedFront, Job, MachineProgress, PlacedMachine, Step};
 use elmtide_sites::report::SiteViewEntry;
 use elmtide_sites::{Reachability as SiteLooks, SiteOpinion as SiteWord};
 use elmtide_sites::{RecoveryPhase, SiteId};
@@ -61,21 +61,21 @@
 }
 
 fn work_said() -> MaintenanceReport {
-    let sight = |looks, work| MachineObservation {
+    let sight = |looks, attempt_outcome| MachineObservation {
         state: looks,
         started_at_ms: 1_700_000_000_000,
         warm_percent: 40,
         load: 900,
-        work,
+        attempt_outcome,
     };
     MaintenanceReport {
         acknowledged: Some(Epoch(6)),
         drained: vec![machine(1)],
         observations: vec![
-            (machine(1), sight(ObservedState::Ready, WorkOutcome::NoneSent)),
-            (machine(2), sight(ObservedState::Draining, WorkOutcome::NoneSucceeded)),
-            (machine(3), sight(ObservedState::Failing, WorkOutcome::Succeeded)),
-            (machine(4), sight(ObservedState::Absent, WorkOutcome::Succeeded)),
+            (machine(1), sight(ObservedState::Ready, AttemptOutcome::NoneSent)),
+            (machine(2), sight(ObservedState::Draining, AttemptOutcome::NoneSucceeded)),
+            (machine(3), sight(ObservedState::Failing, AttemptOutcome::Succeeded)),
+            (machine(4), sight(ObservedState::Absent, AttemptOutcome::Succeeded)),
         ],
         is_overloaded: true,
         needs_details: true,
@@ -135,7 +135,7 @@
         prioritized: vec![machine(1)],
         machine_count: 4,
         completed: 1,
-        spared: 2,
+        cancelled_count: 2,
         requested_at_ms: 900,
         ended_at_ms: Some(950),
     };
@@ -143,11 +143,11 @@
         jobs: vec![(JobId(2), job)],
         progress: Stage::ALL.into_iter().map(|stage| (machine(1), way(stage))).collect(),
         wait_reasons: waits().into_iter().map(|wait| (machine(2), wait)).collect(),
-        missing: vec![machine(3)],
+        lost: vec![machine(3)],
         median_duration_ms: Some(60_000),
         now_ms: 1_700_000_000_123,
     };
-    let placed = Stage::ALL.into_iter().map(|stage| PlacedMachine {
+    let disrupted = Stage::ALL.into_iter().map(|stage| DisruptedMachine {
         machine: machine(1),
         address: Some("127.0.0.1:9000".parse().unwrap()),
         stage,
@@ -155,7 +155,7 @@
     MaintenanceView {
         epoch: Epoch(6),
         machines_version: 3,
-        placed: Some(placed.collect()),
+        disrupted: Some(disrupted.collect()),
         details: Some(Box::new(details)),
     }
 }
--- a/core/maintenance/src/budget.rs
+++ b/core/maintenance/src/budget.rs
@@ -1,4 +1,4 @@
-//! The disruption budget: how many machines may be out of service together.
+//! The disruption budget limits how many machines may be out of service at the same time.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,20 +8,20 @@
 const MINUTES_PER_DAY: u64 = 1440;
 const MS_PER_MINUTE: u64 = 60_000;
 
-/// What makes a released machine count as returned.
+/// The condition under which a released machine counts as returned.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ReturnPolicy {
-    /// The endpoint list has it anew, or an operator confirms it.
+    /// The endpoint list contains it again, or an operator confirms its return.
     #[default]
     EndpointListed,
-    /// An operator confirms it.
+    /// An operator confirms its return.
     OperatorConfirmed,
-    /// Both.
+    /// The endpoint list contains it again, and an operator confirms its return.
     Both,
 }
 
 impl ReturnPolicy {
-    /// Whether a released machine counts as returned.
+    /// Whether a released machine with this progress counts as returned.
     pub fn is_satisfied_by(self, progress: &MachineProgress) -> bool {
         match self {
             ReturnPolicy::EndpointListed => progress.is_listed || progress.is_confirmed,
@@ -31,44 +31,45 @@
     }
 }
 
-/// How many machines may be out of service together; 0 is no limit.
+/// How many machines may be out of service at the same time; a limit of 0 means no limit.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DisruptionBudget {
-    /// Of one kind at one location.
+    /// Maximum number of machines of one kind at one location.
     pub per_location: u16,
-    /// Of one hub.
+    /// Maximum number of machines of one hub.
     pub per_hub: u16,
-    /// Of one kind.
+    /// Maximum number of machines of one kind.
     pub per_kind: u16,
-    /// Never out of service together.
+    /// Pairs of machines that must never be out of service at the same time.
     pub exclusive_pairs: Vec<(MachineId, MachineId)>,
-    /// What is left has to bear the load and this much more, in percent.
+    /// The remaining machines must have capacity for the load plus this margin, in percent of the load.
     pub capacity_margin_percent: u32,
-    /// What is left has to bear the loss of its largest machine as well.
+    /// The remaining machines must have enough capacity even if the largest of them fails as well.
     pub tolerates_further_loss: bool,
-    /// What makes a released machine count as returned.
+    /// The condition under which a released machine counts as returned.
     pub return_policy: ReturnPolicy,
-    /// Minutes of the day (UTC) from and to which nothing is scheduled.
+    /// Intervals in which no machine is scheduled, as first and end (exclusive) minute of the day in UTC. An interval
+    /// may span midnight.
     pub blackout_minutes: Vec<(u16, u16)>,
 }
 
-/// Which limit another machine would exceed.
+/// The limit that one more machine out of service would exceed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum DisruptionLimit {
-    /// Machines of its kind at its location.
+    /// The limit for its kind at its location.
     Location,
-    /// Machines of its hub.
+    /// The limit for its hub.
     Hub,
-    /// Machines of its kind.
+    /// The limit for its kind.
     Kind,
-    /// It is paired with this one.
+    /// It forms an exclusive pair with this machine, which is out of service.
     Pair(MachineId),
-    /// The voters that are left would be no majority.
+    /// The remaining voters would not be a majority.
     Voters,
 }
 
 impl DisruptionBudget {
-    /// Machines that must not be out of service together with this one.
+    /// Machines that must not be out of service at the same time as this one.
     pub fn excluded_partners(&self, machine: MachineId) -> impl Iterator<Item = MachineId> + '_ {
         self.exclusive_pairs.iter().filter_map(move |(a, b)| match machine {
             m if m == *a => Some(*b),
@@ -77,7 +78,7 @@
         })
     }
 
-    /// Whether nothing is scheduled at this moment of the Unix clock, in milliseconds.
+    /// Whether this Unix time, in milliseconds, is in an interval in which no machine is scheduled.
     pub fn is_blackout(&self, unix_ms: u64) -> bool {
         let minute = (unix_ms / MS_PER_MINUTE % MINUTES_PER_DAY) as u16;
         self.blackout_minutes.iter().any(|(from, to)| match from <= to {
@@ -86,7 +87,8 @@
         })
     }
 
-    /// Which limit a machine would exceed besides those that are out of service.
+    /// The limit that `machine` would exceed in addition to the machines in `out_of_service`; `voters` is the number of
+    /// machines that host a voter.
     pub fn exceeded_limit(
         &self,
         voters: usize,
--- a/core/maintenance/src/command.rs
+++ b/core/maintenance/src/command.rs
@@ -7,37 +7,38 @@
 use crate::job::JobId;
 use crate::machine::{MachineId, MachineSpec};
 
-/// One command; each keeps the disruption budget or does nothing.
+/// One command. A command that would exceed the disruption budget is rejected and changes nothing.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MaintenanceCommand {
-    /// Replaces the machines and the disruption budget; a version that is not higher changes nothing.
+    /// Replaces the machine configuration and the disruption budget. Rejected unless the version is higher than the
+    /// current one.
     UpdateMachines {
-        /// Of the configuration.
+        /// Version of the configuration.
         version: u64,
-        /// All machines.
+        /// All configured machines.
         machines: Vec<MachineSpec>,
-        /// How many may be out of service together.
+        /// How many may be out of service at the same time.
         budget: DisruptionBudget,
     },
     /// An operator requests that machines go into maintenance.
     Request {
-        /// Which.
+        /// The machines.
         machines: Vec<MachineId>,
-        /// Who.
+        /// Name of the operator.
         requested_by: String,
-        /// Why.
+        /// Reason for the maintenance.
         reason: String,
-        /// How long one machine is expected to take; 0 if that is not said.
+        /// Expected duration of the maintenance of one machine; 0 if not specified.
         expected_minutes: u32,
         /// The leader's Unix clock, in milliseconds.
         at_ms: u64,
     },
-    /// Schedules no further machine of a job.
+    /// Pauses a job: none of its machines that have not been released advances.
     PauseJob {
         /// The job.
         job: JobId,
     },
-    /// Ends a pause.
+    /// Resumes a paused job.
     ResumeJob {
         /// The job.
         job: JobId,
@@ -46,121 +47,122 @@
     Cancel {
         /// The job.
         job: JobId,
-        /// The machine; all of them if there is none.
+        /// The machine; `None` cancels the whole job.
         machine: Option<MachineId>,
     },
-    /// These machines of a job go first, in this order.
+    /// Schedules these machines of a job before its others, in this order.
     Prioritize {
         /// The job.
         job: JobId,
         /// The machines.
         machines: Vec<MachineId>,
     },
-    /// An operator says that a machine is back.
+    /// An operator confirms that a machine is back.
     ConfirmReturn {
         /// The machine.
         machine: MachineId,
     },
-    /// An operator says that the machine of a front is off: the front is not waited for until it joins again.
+    /// An operator declares that the machine of a front is powered off. The front is not waited for until it joins or
+    /// acknowledges a view again.
     DeclareFrontOff {
         /// The front.
         front: FrontId,
     },
-    /// Views that fronts decide by.
+    /// Records the epochs of the views that fronts apply.
     Acknowledge {
-        /// By front.
+        /// The acknowledged epoch of each front.
         acknowledgements: Vec<(HolderId, Epoch)>,
     },
-    /// The leader advances one machine.
+    /// The leader moves one machine to its next stage, or marks its progress.
     Advance {
         /// The machine.
         machine: MachineId,
-        /// Its epoch when the step was decided.
+        /// The machine's epoch when the step was decided; the command is rejected if it has changed.
         epoch: Epoch,
-        /// What is done.
+        /// The step.
         step: Step,
         /// The leader's Unix clock, in milliseconds.
         at_ms: u64,
     },
 }
 
-/// What the leader does with a machine; each step counts only from the stage that it is made for.
+/// A step that the leader takes for one machine. Each step is accepted only in the stage that it starts from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Step {
-    /// Requested to scheduled.
+    /// From requested to scheduled.
     Schedule,
-    /// Scheduled to draining.
+    /// From scheduled to draining.
     Drain,
-    /// Draining to drained.
+    /// From draining to drained.
     MarkDrained,
-    /// Drained to released: a permit is given.
+    /// From drained to released: a permit is issued.
     Release {
-        /// When its software was started, by which a later start is known.
+        /// Start time of its software, in Unix milliseconds. A different start time later shows that it was restarted.
         started_at_ms: u64,
     },
-    /// It takes longer than expected.
+    /// Marks a released machine as overdue: its maintenance takes longer than expected.
     MarkOverdue,
-    /// Back to requested, before its release.
+    /// Back to requested, before the machine is released.
     Revert,
-    /// The endpoint list has it anew.
+    /// Marks a released machine as listed: the endpoint list contains it again.
     MarkListed,
-    /// Released to returned.
+    /// From released to returned.
     Return,
-    /// Returned to slow start.
+    /// From returned to slow start.
     BeginSlowStart,
-    /// Slow start to in service.
+    /// From slow start to in service: the machine leaves its job.
     Complete,
 }
 
-/// Why a command did nothing.
+/// Why a command was rejected; a rejected command changes nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 pub enum CommandRejected {
-    /// The machines in force are as new.
-    #[error("the machines in force are as new")]
+    /// The current machine configuration has this version or a higher one.
+    #[error("the current machine configuration has this version or a higher one")]
     StaleVersion,
-    /// More than the state's bounds allow, or nothing at all.
-    #[error("nothing named, or more jobs or machines than are kept")]
+    /// The command names no machine, or exceeds the maximum number of jobs, machines or fronts.
+    #[error("no machine is named, or there are too many jobs, machines or fronts")]
     LimitExceeded,
-    /// The machine is not in the configuration in force.
-    #[error("{0:?} is not configured")]
+    /// The machine is not in the current configuration.
+    #[error("{0:?} is not in the current machine configuration")]
     UnknownMachine(MachineId),
-    /// The machine is in a job already.
-    #[error("{0:?} is in {1:?} already")]
+    /// The machine is already in a job.
+    #[error("{0:?} is already in {1:?}")]
     AlreadyInJob(MachineId, JobId),
-    /// There is no such open job.
-    #[error("there is no such job, or it has ended")]
+    /// The job does not exist or has ended.
+    #[error("the job does not exist or has ended")]
     UnknownJob,
-    /// Something has changed since the command was decided.
-    #[error("something has changed since")]
+    /// The machine has advanced since the command was decided, or the step does not start from its stage.
+    #[error("the machine is not in the epoch or stage that the step was decided for")]
     StaleEpoch,
     /// The machine is not in this job.
     #[error("the machine is not in this job")]
     NotInJob,
-    /// The machine has not been released, or has returned already.
-    #[error("{0:?} has not been released")]
+    /// The machine has not been released, has already returned, or does not satisfy the return policy yet.
+    #[error("{0:?} is not released, or does not satisfy the return policy yet")]
     NotReleased(MachineId),
-    /// The machine has been released: it can only return.
-    #[error("{0:?} has been released")]
+    /// The machine has already been released and can only return.
+    #[error("{0:?} has already been released")]
     AlreadyReleased(MachineId),
-    /// Its job is paused or cancelled.
+    /// The machine's job is paused or cancelled.
     #[error("the job is paused or cancelled")]
     JobPaused,
-    /// It would exceed the disruption budget.
+    /// The machine would exceed this limit of the disruption budget.
     #[error("the disruption budget is exhausted: {0:?}")]
     DisruptionLimit(DisruptionLimit),
-    /// This front has not acknowledged that the machine is scheduled.
-    #[error("{0:?} has not acknowledged the view")]
+    /// This front has not acknowledged the view in which the machine is scheduled.
+    #[error("{0:?} has not acknowledged the view in which the machine is scheduled")]
     NotAcknowledged(FrontId),
-    /// More fronts than are accounted for.
-    #[error("more fronts than are accounted for")]
+    /// More fronts have joined than the state can track.
+    #[error("more fronts have joined than the state can track")]
     TooManyFronts,
-    /// Without the machine there would be none of its kind at its location, or no majority of voters.
-    #[error("{0:?} is the last of its kind")]
+    /// Without the machine there would be no server of its kind at its location, or no majority of voters.
+    #[error("without {0:?} there would be no server of its kind at its location, or no majority of voters")]
     LastOfItsKind(MachineId),
     /// A name or a reason is too long.
     #[error("a name or a reason is too long")]
     TextTooLong,
-    /// The front is not present.
+    /// The front is not present, so it cannot be declared off.
     #[error("{0:?} is not present")]
     FrontNotPresent(FrontId),
 }
--- a/core/maintenance/src/coordinator.rs
+++ b/core/maintenance/src/coordinator.rs
@@ -1,5 +1,5 @@
-//! What the leader proposes: from what fronts report with their lease requests, and by its own clock from its own election on. All
-//! of it is volatile; a new leader hears it again.
+//! Decides which commands the leader proposes, from the reports that fronts send with their lease requests and from the
+//! leader's own clock since its election. This state is volatile: a new leader rebuilds it from the next reports.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,38 +11,38 @@
 use crate::machine::{FrontPresence, MachineId, MachineSpec, Stage};
 use crate::planning::{self, capacity_shortfall, Observations};
 use crate::report::{
-    MachineObservation, MaintenanceDetails, MaintenanceReport, MaintenanceView, ObservedState, WaitReason,
-    WorkOutcome, MAX_OBSERVATIONS,
+    AttemptOutcome, MachineObservation, MaintenanceDetails, MaintenanceReport, MaintenanceView,
+    ObservedState, WaitReason, MAX_OBSERVATIONS,
 };
 use crate::state::MaintenanceState;
 
-/// Most steps that are proposed at once.
-const MAX_STEPS_PER_PLAN: usize = 256;
-/// A machine that is warm and that nobody sends to counts as in service after this long.
+/// Maximum number of commands in one proposal.
+const MAX_COMMANDS_PER_PROPOSAL: usize = 256;
+/// A warm machine that receives no attempts is considered in service after this time in slow start.
 const UNUSED_TIMEOUT_MS: u64 = 3000;
 const MS_PER_MINUTE: u64 = 60_000;
 const FULLY_WARM: u8 = 100;
 
-/// The moment, and what the leader knows besides what fronts report.
+/// The current time, and what the leader knows in addition to the fronts' reports.
 pub struct CoordinatorInput<'a> {
     /// The leader's monotonic clock.
     pub monotonic: Micros,
     /// The leader's Unix clock, in milliseconds.
     pub wall_ms: u64,
-    /// Length of a lease.
+    /// Duration of a lease.
     pub lease: Micros,
     /// The leader's own front.
-    pub own: FrontId,
-    /// When the lease that a holder may have must have expired, and everything that was decided under it must have ended.
-    pub drained_at: &'a dyn Fn(HolderId) -> Micros,
+    pub own_front: FrontId,
+    /// Monotonic time by which any lease of this holder has expired and every request sent under it has ended.
+    pub requests_ended_at: &'a dyn Fn(HolderId) -> Micros,
 }
 
-/// What the leader proposes.
+/// The leader's proposals.
 #[derive(Debug, Default)]
 pub struct Proposal {
-    /// Commands for the log.
+    /// Commands to propose to the replicated log.
     pub commands: Vec<MaintenanceCommand>,
-    /// The leader's own machine is to go: another one leads first.
+    /// The leader's own machine is next to be drained, so leadership has to be transferred first.
     pub transfers_leadership: bool,
 }
 
@@ -52,33 +52,33 @@
     report: MaintenanceReport,
 }
 
-/// One machine that is being advanced.
+/// A machine that may advance to its next stage.
 struct Candidate<'a> {
     machine: MachineId,
     spec: &'a MachineSpec,
     progress: &'a MachineProgress,
 }
 
-/// The leader's side, new with each election.
+/// The volatile state of the leader; created anew at each election.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct MaintenanceCoordinator {
     reports: BTreeMap<HolderId, ReceivedReport>,
     wait_reasons: BTreeMap<MachineId, WaitReason>,
-    /// Down or failing without being in maintenance.
-    missing: BTreeSet<MachineId>,
-    /// The epochs that holders were last notified of.
+    /// Machines that are down or failing without being in maintenance.
+    lost: BTreeSet<MachineId>,
+    /// Last epoch that each holder was notified of.
     notified: BTreeMap<HolderId, Epoch>,
-    /// Machines that were seen away since their release.
-    seen_away: BTreeSet<MachineId>,
+    /// Machines that were observed as absent or draining, or whose front was not present, since their release.
+    seen_absent: BTreeSet<MachineId>,
 }
 
 impl MaintenanceCoordinator {
-    /// A coordinator that has heard nothing yet.
+    /// A coordinator without any reports.
     pub fn new() -> MaintenanceCoordinator {
         MaintenanceCoordinator::default()
     }
 
-    /// Takes what a front reports.
+    /// Stores the report of a front; ignored unless this incarnation of the front is present.
     pub fn on_report(
         &mut self,
         state: &MaintenanceState,
@@ -91,14 +91,14 @@
         }
         report.observations.truncate(MAX_OBSERVATIONS);
         report.drained.truncate(MAX_OBSERVATIONS);
-        // What it has acknowledged does not go back.
+        // Acknowledged epochs never go back.
         if let Some(before) = self.reports.get(&holder) {
             report.acknowledged = report.acknowledged.max(before.report.acknowledged);
         }
         self.reports.insert(holder, ReceivedReport { received_at: now, report });
     }
 
-    /// What goes with a response to this holder; nothing for one that reports nothing.
+    /// The view to send with the response to this holder; `None` if it has sent no report or nothing is configured.
     pub fn view(&self, state: &MaintenanceState, holder: HolderId, wall_ms: u64) -> Option<MaintenanceView> {
         let report = &self.reports.get(&holder)?.report;
         if state.version() == 0 {
@@ -109,7 +109,7 @@
         Some(MaintenanceView {
             epoch: state.epoch(),
             machines_version: state.version(),
-            placed: (!is_known).then(|| state.placed_machines()),
+            disrupted: (!is_known).then(|| state.disrupted_machines()),
             details,
         })
     }
@@ -119,13 +119,14 @@
             jobs: state.jobs().iter().map(|(id, job)| (*id, job.clone())).collect(),
             progress: state.progress().iter().map(|(m, progress)| (*m, progress.clone())).collect(),
             wait_reasons: self.wait_reasons.iter().map(|(m, reason)| (*m, *reason)).collect(),
-            missing: self.missing.iter().copied().take(MAX_OBSERVATIONS).collect(),
+            lost: self.lost.iter().copied().take(MAX_OBSERVATIONS).collect(),
             median_duration_ms: state.median_duration_ms(),
             now_ms: wall_ms.max(state.clock_ms()),
         }
     }
 
-    /// Holders that should renew now: they have neither acknowledged the last epoch, nor been notified of it.
+    /// Holders that should renew their lease now because they have neither acknowledged the current epoch nor been
+    /// notified of it. Each is returned once per epoch.
     pub fn holders_to_notify(&mut self, state: &MaintenanceState) -> Vec<HolderId> {
         let epoch = state.epoch();
         let behind = self.reports.iter().filter(|(_, r)| r.report.acknowledged != Some(epoch));
@@ -146,7 +147,7 @@
         self.reports.get(&holder).is_some_and(|received| is_recent(received.received_at, input))
     }
 
-    /// What fronts report, put together.
+    /// Combines the reports of the fronts.
     pub fn observations(&self, state: &MaintenanceState, input: &CoordinatorInput) -> Observations {
         let is_voter = |front: FrontId| state.machines().values().any(|s| s.hosts_voter() && hosts(s, front));
         let reachable = self.recent_reports(input).map(|(holder, _)| holder.front);
@@ -158,7 +159,7 @@
         }
     }
 
-    /// Machines that look bad to most fronts that observe them, without being in maintenance.
+    /// Machines that are not in maintenance and that most of the fronts observing them find not ready.
     fn lost_machines(&self, state: &MaintenanceState, input: &CoordinatorInput) -> BTreeSet<MachineId> {
         let mut votes: BTreeMap<MachineId, (u32, u32)> = BTreeMap::new();
         for (_, report) in self.recent_reports(input) {
@@ -201,24 +202,24 @@
         unreachable.map(|(front, _)| WaitReason::FrontUnreachable(*front))
     }
 
-    /// What is to be proposed now.
+    /// Decides what to propose now.
     pub fn propose(&mut self, state: &MaintenanceState, input: &CoordinatorInput) -> Proposal {
-        self.forget_former(state);
+        self.forget_departed(state);
         let mut proposal = Proposal::default();
         if state.progress().is_empty() {
             self.wait_reasons.clear();
-            // Only operators need it then.
+            // Without machines in a job, only operators need the lost machines.
             if self.reports.values().any(|received| received.report.needs_details) {
-                self.missing = self.lost_machines(state, input);
+                self.lost = self.lost_machines(state, input);
             }
             return proposal;
         }
         proposal.commands.extend(self.acknowledgements(state, input));
         let observations = self.observations(state, input);
-        self.missing.clone_from(&observations.lost);
+        self.lost.clone_from(&observations.lost);
         let planning::Schedule { machines, mut wait_reasons } = planning::schedule(state, &observations);
-        self.advance_placed(state, &observations, input, &mut proposal, &mut wait_reasons);
-        let left = MAX_STEPS_PER_PLAN.saturating_sub(proposal.commands.len());
+        self.advance_disrupted(state, &observations, input, &mut proposal, &mut wait_reasons);
+        let left = MAX_COMMANDS_PER_PROPOSAL.saturating_sub(proposal.commands.len());
         for machine in machines.into_iter().take(left) {
             let Some(progress) = state.progress().get(&machine) else { continue };
             proposal.commands.push(advance(machine, progress, Step::Schedule, input));
@@ -227,15 +228,15 @@
         proposal
     }
 
-    fn forget_former(&mut self, state: &MaintenanceState) {
+    fn forget_departed(&mut self, state: &MaintenanceState) {
         self.reports.retain(|holder, _| is_present(state, *holder));
         self.notified.retain(|holder, _| is_present(state, *holder));
         let is_released = |m: &MachineId| state.progress().get(m).is_some_and(|p| p.stage == Stage::Released);
-        self.seen_away.retain(is_released);
+        self.seen_absent.retain(is_released);
     }
 
-    /// Proposes the next step of each machine that is on its way, or notes why there is none.
-    fn advance_placed(
+    /// Proposes the next step of each machine that counts against the disruption budget, or records why it waits.
+    fn advance_disrupted(
         &mut self,
         state: &MaintenanceState,
         observations: &Observations,
@@ -243,12 +244,12 @@
         proposal: &mut Proposal,
         wait_reasons: &mut BTreeMap<MachineId, WaitReason>,
     ) {
-        for (machine, progress) in state.progress().iter().filter(|(_, p)| p.stage.occupies_slot()) {
+        for (machine, progress) in state.progress().iter().filter(|(_, p)| p.stage.is_disrupted()) {
             let Some(spec) = state.machines().get(machine) else { continue };
             let candidate = Candidate { machine: *machine, spec, progress };
             let reason = match self.next_step(state, observations, input, &candidate) {
                 Ok(step) => {
-                    if proposal.commands.len() < MAX_STEPS_PER_PLAN {
+                    if proposal.commands.len() < MAX_COMMANDS_PER_PROPOSAL {
                         proposal.commands.push(advance(*machine, progress, step, input));
                     }
                     WaitReason::ReadyToAdvance
@@ -260,21 +261,22 @@
         }
     }
 
-    /// Acknowledged views where a machine waits for them; and that a front is heard that was declared off.
+    /// Acknowledgements that a scheduled machine waits for, and those of fronts that were declared off but have
+    /// reported.
     fn acknowledgements(
         &self,
         state: &MaintenanceState,
         input: &CoordinatorInput,
     ) -> Option<MaintenanceCommand> {
         let scheduled = state.progress().values().filter(|p| p.stage == Stage::Scheduled);
-        let awaited = scheduled.map(|progress| progress.epoch).max()?;
-        let news = self.recent_reports(input).filter_map(|(holder, report)| {
+        let needed_epoch = scheduled.map(|progress| progress.epoch).max()?;
+        let updates = self.recent_reports(input).filter_map(|(holder, report)| {
             let acknowledged = report.acknowledged?;
             let presence = state.fronts().get(&holder.front)?;
-            let is_awaited = presence.acknowledged < awaited && acknowledged > presence.acknowledged;
-            (is_awaited || presence.is_declared_off).then_some((holder, acknowledged))
+            let is_needed = presence.acknowledged < needed_epoch && acknowledged > presence.acknowledged;
+            (is_needed || presence.is_declared_off).then_some((holder, acknowledged))
         });
-        let acknowledgements: Vec<(HolderId, Epoch)> = news.collect();
+        let acknowledgements: Vec<(HolderId, Epoch)> = updates.collect();
         let is_any = !acknowledgements.is_empty();
         is_any.then_some(MaintenanceCommand::Acknowledge { acknowledgements })
     }
@@ -306,20 +308,20 @@
                 self.check_drained(state, input, candidate)?;
                 Ok(Step::MarkDrained)
             }
-            Stage::Drained => Ok(Step::Release { started_at_ms: self.last_start(input, *machine) }),
+            Stage::Drained => Ok(Step::Release { started_at_ms: self.latest_start_ms(input, *machine) }),
             Stage::Released => {
                 let expected_minutes = u64::from(job.map_or(0, |job| job.expected_minutes));
-                self.step_of_released(state, input, candidate, expected_minutes)
+                self.next_step_released(state, input, candidate, expected_minutes)
             }
             Stage::Returned => {
                 self.warm_percent(state, input, *machine, spec)?;
                 Ok(Step::BeginSlowStart)
             }
-            Stage::SlowStart => self.step_of_slow_start(state, observations, input, candidate),
+            Stage::SlowStart => self.next_step_slow_start(state, observations, input, candidate),
         }
     }
 
-    fn step_of_released(
+    fn next_step_released(
         &mut self,
         state: &MaintenanceState,
         input: &CoordinatorInput,
@@ -327,21 +329,21 @@
         expected_minutes: u64,
     ) -> Result<Step, WaitReason> {
         let progress = candidate.progress;
-        if !progress.is_listed && self.is_listed_anew(state, input, candidate) {
+        if !progress.is_listed && self.is_listed_again(state, input, candidate) {
             return Ok(Step::MarkListed);
         }
         if state.budget().return_policy.is_satisfied_by(progress) {
             return Ok(Step::Return);
         }
         let elapsed_ms = input.wall_ms.saturating_sub(progress.stage_since_ms);
-        let is_late = expected_minutes > 0 && elapsed_ms > expected_minutes * MS_PER_MINUTE;
-        if is_late && !progress.is_overdue {
+        let is_past_expected = expected_minutes > 0 && elapsed_ms > expected_minutes * MS_PER_MINUTE;
+        if is_past_expected && !progress.is_overdue {
             return Ok(Step::MarkOverdue);
         }
         Err(WaitReason::InMaintenance)
     }
 
-    fn step_of_slow_start(
+    fn next_step_slow_start(
         &self,
         state: &MaintenanceState,
         observations: &Observations,
@@ -350,16 +352,17 @@
     ) -> Result<Step, WaitReason> {
         let Candidate { machine, spec, progress } = candidate;
         let warm = self.warm_percent(state, input, *machine, spec)?;
-        let with_outcome = |outcome: WorkOutcome| {
-            self.observations_of(input, *machine).find(|(_, observation)| observation.work == outcome)
+        let with_outcome = |outcome: AttemptOutcome| {
+            self.observations_of(input, *machine)
+                .find(|(_, observation)| observation.attempt_outcome == outcome)
         };
-        if let Some((front, _)) = with_outcome(WorkOutcome::NoneSucceeded) {
+        if let Some((front, _)) = with_outcome(AttemptOutcome::NoneSucceeded) {
             return Err(WaitReason::Unproven(front));
         }
-        let is_in_demand = spec.front.is_none() && observations.load_beside(spec) > 0;
+        let is_in_demand = spec.front.is_none() && observations.group_load(spec) > 0;
         let elapsed_ms = input.wall_ms.saturating_sub(progress.stage_since_ms);
         let may_still_be_used = is_in_demand && elapsed_ms < UNUSED_TIMEOUT_MS;
-        let is_unproven = may_still_be_used && with_outcome(WorkOutcome::Succeeded).is_none();
+        let is_unproven = may_still_be_used && with_outcome(AttemptOutcome::Succeeded).is_none();
         if warm == FULLY_WARM && !is_unproven {
             Ok(Step::Complete)
         } else {
@@ -367,7 +370,8 @@
         }
     }
 
-    /// Whether every front that is present has acknowledged that the machine is scheduled, and enough voters are left.
+    /// Checks that every front that is present has acknowledged the scheduled stage, that the remaining reachable
+    /// voters are a majority, and that the leader does not run on the machine.
     fn check_acknowledged(
         &self,
         state: &MaintenanceState,
@@ -391,13 +395,13 @@
                 return Err(WaitReason::VoterMajority);
             }
         }
-        if hosted.id == input.own {
+        if hosted.id == input.own_front {
             return Err(WaitReason::LeadershipTransfer);
         }
         Ok(())
     }
 
-    /// Whether no front has an open request at the machine, or may have one.
+    /// Checks that no front can have an open request at the machine.
     fn check_drained(
         &self,
         state: &MaintenanceState,
@@ -410,7 +414,7 @@
             let report = self.reports.get(&holder).map(|received| &received.report);
             let is_drained =
                 report.is_some_and(|r| r.acknowledged >= epoch && r.drained.contains(&candidate.machine));
-            if is_drained || input.monotonic >= (input.drained_at)(holder) {
+            if is_drained || input.monotonic >= (input.requests_ended_at)(holder) {
                 continue;
             }
             return Err(match self.is_reachable(holder, input) {
@@ -432,12 +436,13 @@
         })
     }
 
-    fn last_start(&self, input: &CoordinatorInput, machine: MachineId) -> u64 {
+    fn latest_start_ms(&self, input: &CoordinatorInput, machine: MachineId) -> u64 {
         self.observations_of(input, machine).map(|(_, o)| o.started_at_ms).max().unwrap_or(0)
     }
 
-    /// Whether the endpoint list has the machine anew: with another start, or after it was away; or its front has joined again.
-    fn is_listed_anew(
+    /// Whether the machine is back: the endpoint list contains it with another start time or after it was absent, or
+    /// its front has joined again.
+    fn is_listed_again(
         &mut self,
         state: &MaintenanceState,
         input: &CoordinatorInput,
@@ -447,26 +452,26 @@
         if let Some(hosted) = spec.front {
             let presence = state.fronts().get(&hosted.id);
             if presence.is_none() {
-                self.seen_away.insert(*machine);
+                self.seen_absent.insert(*machine);
             }
-            return presence.is_some_and(|p| p.incarnation.0 > 0) && self.seen_away.contains(machine);
+            return presence.is_some_and(|p| p.incarnation.0 > 0) && self.seen_absent.contains(machine);
         }
         let observed: Vec<MachineObservation> =
             self.observations_of(input, *machine).map(|(_, observation)| observation).collect();
-        let is_away =
+        let is_absent =
             |o: &MachineObservation| matches!(o.state, ObservedState::Absent | ObservedState::Draining);
-        if !observed.is_empty() && observed.iter().all(is_away) {
-            self.seen_away.insert(*machine);
+        if !observed.is_empty() && observed.iter().all(is_absent) {
+            self.seen_absent.insert(*machine);
         }
-        let was_away = self.seen_away.contains(machine);
-        let is_anew = |o: &MachineObservation| {
+        let was_absent = self.seen_absent.contains(machine);
+        let has_returned = |o: &MachineObservation| {
             let has_restarted = o.started_at_ms > 0 && o.started_at_ms != progress.started_at_ms;
-            !is_away(o) && (has_restarted || was_away)
+            !is_absent(o) && (has_restarted || was_absent)
         };
-        observed.iter().any(is_anew)
+        observed.iter().any(has_returned)
     }
 
-    /// How far the machine's slow start has come; or why it is not ready.
+    /// Progress of the machine's slow start in percent, or why it is not ready.
     fn warm_percent(
         &self,
         state: &MaintenanceState,
@@ -515,31 +520,32 @@
     MaintenanceCommand::Advance { machine, epoch: progress.epoch, step, at_ms: input.wall_ms }
 }
 
-/// Whether too little is left while this machine goes, now that others are lost: then it is put back into service.
+/// Whether too little capacity is left without this machine because others are lost. Such a machine is put back into
+/// service.
 fn is_capacity_short_without(
     state: &MaintenanceState,
     observations: &Observations,
     machine: MachineId,
     spec: &MachineSpec,
 ) -> bool {
-    let is_placed = |m: &MachineId| state.progress().get(m).is_some_and(|p| p.stage.occupies_slot());
+    let is_disrupted = |m: &MachineId| state.progress().get(m).is_some_and(|p| p.stage.is_disrupted());
     let with_spec = |m: &MachineId| Some((*m, state.machines().get(m)?));
-    let lost = observations.lost.iter().filter(|m| **m != machine && !is_placed(m));
+    let lost = observations.lost.iter().filter(|m| **m != machine && !is_disrupted(m));
     let lost: Vec<(MachineId, &MachineSpec)> = lost.filter_map(with_spec).collect();
-    let is_near = |(m, other): &(MachineId, &MachineSpec)| {
+    let shares_limit = |(m, other): &(MachineId, &MachineSpec)| {
         (other.location == spec.location && other.kind == spec.kind)
             || state.budget().excluded_partners(machine).any(|partner| partner == *m)
     };
-    if !lost.iter().any(is_near) {
+    if !lost.iter().any(shares_limit) {
         return false;
     }
-    let placed = state.progress().keys().filter(|m| is_placed(m) && **m != machine);
+    let disrupted = state.progress().keys().filter(|m| is_disrupted(m) && **m != machine);
     let out: Vec<(MachineId, &MachineSpec)> =
-        placed.filter_map(with_spec).chain(lost.iter().copied()).collect();
+        disrupted.filter_map(with_spec).chain(lost.iter().copied()).collect();
     if state.budget().exceeded_limit(usize::MAX, machine, spec, &out).is_some() {
         return true;
     }
     let budget = DisruptionBudget { tolerates_further_loss: false, ..state.budget().clone() };
-    let is_out = |m: &MachineId| is_placed(m) || observations.lost.contains(m);
+    let is_out = |m: &MachineId| is_disrupted(m) || observations.lost.contains(m);
     capacity_shortfall(&budget, state.machines(), observations, spec, &is_out).is_some()
 }
--- a/core/maintenance/src/exclusions.rs
+++ b/core/maintenance/src/exclusions.rs
@@ -1,15 +1,15 @@
-//! Which machines a front excludes, by the view that it was told last and by the lease on it.
+//! Decides which machines a front excludes, from the last view that it received and the lease on it.
 //!
-//! **Invariant: by a view of epoch n, whether its lease has expired or not, a front sends nothing new to a machine that was
-//! draining or further by n; and once the lease has expired, nothing to one that was scheduled by n.** This is checked with
-//! the clocks of the moment of the decision.
+//! **Invariant: a front with a view of epoch n sends no new attempt to a machine that is draining or further in that
+//! view (but not yet in slow start), whether or not its lease has expired. Once the lease has expired, it sends none
+//! to a scheduled machine either.** The lease is checked against the clocks at the moment of each decision.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
 use elmtide_budgets::{Clocks, Epoch, LeaseSettings, Micros};
 
-use crate::machine::{MachineId, PlacedMachine, Stage};
+use crate::machine::{DisruptedMachine, MachineId, Stage};
 use crate::report::LeasedMaintenanceView;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -18,20 +18,20 @@
     expires_at: Micros,
 }
 
-/// The machines that one front excludes.
+/// The machines that one front excludes, and the view and lease that they follow from.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MaintenanceExclusions {
     lease_settings: LeaseSettings,
-    /// Machines of the configuration, which are excluded before there is a view.
+    /// Machines of the configuration, all of which are excluded until there is a view.
     known: BTreeSet<MachineId>,
     addresses: BTreeMap<SocketAddr, MachineId>,
-    placed: Option<BTreeMap<MachineId, Stage>>,
+    disrupted: Option<BTreeMap<MachineId, Stage>>,
     epoch: Epoch,
     lease: Option<ViewLease>,
 }
 
 impl MaintenanceExclusions {
-    /// Before there is a view; `machines` are those of the configuration, with their addresses.
+    /// Starts without a view; `machines` are the machines of the configuration, with their addresses.
     pub fn new(
         lease_settings: LeaseSettings,
         machines: impl IntoIterator<Item = (MachineId, Option<SocketAddr>)>,
@@ -42,20 +42,27 @@
             known.insert(machine);
             addresses.extend(address.map(|address| (address, machine)));
         }
-        MaintenanceExclusions { lease_settings, known, addresses, placed: None, epoch: Epoch(0), lease: None }
+        MaintenanceExclusions {
+            lease_settings,
+            known,
+            addresses,
+            disrupted: None,
+            epoch: Epoch(0),
+            lease: None,
+        }
     }
 
-    /// Takes a view. One that is older than what is held, or that only says that nothing has changed since one that is not
-    /// held, changes nothing.
+    /// Applies a view. A view is ignored if its lease has expired, if it is older than the current one, or if it lists
+    /// no machines because nothing has changed since an epoch other than the current one.
     pub fn apply(&mut self, leased: &LeasedMaintenanceView, now: Clocks) {
         let LeasedMaintenanceView { view, requested_at, expires_at } = leased;
         let lease = ViewLease { requested_at: *requested_at, expires_at: *expires_at };
         if view.epoch < self.epoch || !self.is_in_force(lease, now) {
             return;
         }
-        match &view.placed {
-            Some(placed) => self.replace_placed(placed),
-            None if view.epoch == self.epoch && self.placed.is_some() => {}
+        match &view.disrupted {
+            Some(disrupted) => self.replace_disrupted(disrupted),
+            None if view.epoch == self.epoch && self.disrupted.is_some() => {}
             None => return,
         }
         self.epoch = view.epoch;
@@ -65,59 +72,60 @@
         }
     }
 
-    fn replace_placed(&mut self, placed: &[PlacedMachine]) {
-        self.placed = Some(placed.iter().map(|p| (p.machine, p.stage)).collect());
-        self.addresses.extend(placed.iter().filter_map(|p| Some((p.address?, p.machine))));
+    fn replace_disrupted(&mut self, disrupted: &[DisruptedMachine]) {
+        self.disrupted = Some(disrupted.iter().map(|p| (p.machine, p.stage)).collect());
+        self.addresses.extend(disrupted.iter().filter_map(|p| Some((p.address?, p.machine))));
     }
 
     fn is_in_force(&self, lease: ViewLease, now: Clocks) -> bool {
         self.lease_settings.is_in_force(lease.requested_at, lease.expires_at, now)
     }
 
-    /// Whether there is a view.
+    /// Whether a view has been applied.
     pub fn has_view(&self) -> bool {
-        self.placed.is_some()
+        self.disrupted.is_some()
     }
 
-    /// Epoch of the view; 0 before there is one.
+    /// Epoch of the current view; 0 before there is one.
     pub fn epoch(&self) -> Epoch {
         self.epoch
     }
 
-    /// Whether the lease on the view is in force.
+    /// Whether the lease on the view is valid.
     pub fn has_valid_lease(&self, now: Clocks) -> bool {
         self.lease.is_some_and(|lease| self.is_in_force(lease, now))
     }
 
-    /// The machine of this name in the endpoint list, or at this address.
+    /// The machine at this address or, if the address is unknown, with this name in the endpoint list.
     pub fn machine_at(&self, name: &str, address: Option<SocketAddr>) -> MachineId {
         let by_address = address.and_then(|address| self.addresses.get(&address)).copied();
         by_address.unwrap_or_else(|| MachineId::from_name(name))
     }
 
-    /// Whether the configuration or the view has this machine.
+    /// Whether the configuration or the view contains this machine.
     pub fn knows(&self, machine: MachineId) -> bool {
         self.known.contains(&machine) || self.stage(machine).is_some()
     }
 
-    /// The machine's stage by the view.
+    /// The machine's stage in the view.
     pub fn stage(&self, machine: MachineId) -> Option<Stage> {
-        self.placed.as_ref()?.get(&machine).copied()
+        self.disrupted.as_ref()?.get(&machine).copied()
     }
 
-    /// Whether nothing new may be sent there now.
+    /// Whether no new attempt may be sent to this machine now.
     pub fn is_excluded(&self, machine: MachineId, now: Clocks) -> bool {
-        if self.placed.is_none() {
+        if self.disrupted.is_none() {
             return self.known.contains(&machine);
         }
         let Some(stage) = self.stage(machine) else { return false };
         stage.is_excluded() || (stage.is_excluded_without_lease() && !self.has_valid_lease(now))
     }
 
-    /// Machines that are excluded by the view whatever the lease: those that the front has to report as drained.
+    /// Machines that the view excludes whether or not the lease has expired. The front has to report them as drained
+    /// once it has no open request there.
     pub fn excluded_by_view(&self) -> impl Iterator<Item = MachineId> + '_ {
-        let placed = self.placed.iter().flatten();
-        placed.filter(|(_, stage)| stage.is_excluded()).map(|(machine, _)| *machine)
+        let disrupted = self.disrupted.iter().flatten();
+        disrupted.filter(|(_, stage)| stage.is_excluded()).map(|(machine, _)| *machine)
     }
 
     /// Machines of the configuration.
--- a/core/maintenance/src/job.rs
+++ b/core/maintenance/src/job.rs
@@ -1,4 +1,4 @@
-//! Jobs, and how far each of their machines has come.
+//! Jobs, and the progress of each machine in a job.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,66 +6,66 @@
 
 use crate::machine::{MachineId, Stage};
 
-/// One request of an operator for machines to go into maintenance; numbered from 1, 0 for none.
+/// Number of a job, an operator's request to take machines into maintenance. Jobs are numbered from 1; 0 means no job.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct JobId(pub u32);
 
-/// How far one machine has come.
+/// Progress of one machine in a job.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct MachineProgress {
-    /// Its job.
+    /// The machine's job.
     pub job: JobId,
-    /// Its stage.
+    /// The machine's stage.
     pub stage: Stage,
-    /// Epoch of its last change that fronts have to know of.
+    /// Epoch in which its stage last changed; fronts have to acknowledge it.
     pub epoch: Epoch,
-    /// When it was scheduled, by the leader's Unix clock.
+    /// When it was scheduled, by the leader's Unix clock, in milliseconds.
     pub scheduled_at_ms: u64,
-    /// When it came to its stage.
+    /// When it entered its stage, by the leader's Unix clock, in milliseconds.
     pub stage_since_ms: u64,
-    /// Number of its permit, from 1; 0 before it is released.
+    /// Number of its permit. Permits are numbered from 1; 0 before the machine is released.
     pub permit: u64,
-    /// When its software was started, as it was known at its release.
+    /// Start time of its software as known at its release, in Unix milliseconds; 0 if unknown.
     pub started_at_ms: u64,
-    /// The endpoint list has it again.
+    /// The endpoint list contains it again.
     pub is_listed: bool,
-    /// An operator has said that it is back.
+    /// An operator has confirmed that it is back.
     pub is_confirmed: bool,
-    /// It takes longer than the job expected.
+    /// Its maintenance takes longer than the job expected.
     pub is_overdue: bool,
-    /// Its job was cancelled after its release.
+    /// It was cancelled after its release.
     pub is_cancelled: bool,
 }
 
-/// What an operator has requested, and how much of it is done.
+/// An operator's request to take machines into maintenance, and how many of them are done.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Job {
-    /// Who.
+    /// Name of the operator.
     pub requested_by: String,
-    /// Why.
+    /// Reason for the maintenance.
     pub reason: String,
-    /// How long one machine is expected to take; 0 if that was not said.
+    /// Expected duration of the maintenance of one machine; 0 if not specified.
     pub expected_minutes: u32,
-    /// No further machine of it is scheduled.
+    /// Paused: none of its machines that have not been released advances.
     pub is_paused: bool,
-    /// It was cancelled.
+    /// The whole job was cancelled.
     pub is_cancelled: bool,
-    /// Machines that an operator wants first.
+    /// Machines that an operator wants to be scheduled first, in this order.
     pub prioritized: Vec<MachineId>,
-    /// Number of its machines.
+    /// Number of machines that were requested.
     pub machine_count: u32,
-    /// Machines that are back in service.
+    /// Number of machines that are back in service.
     pub completed: u32,
-    /// Machines that were cancelled before their release.
-    pub spared: u32,
-    /// When it was requested, by the leader's Unix clock.
+    /// Number of machines that were cancelled before their release.
+    pub cancelled_count: u32,
+    /// When it was requested, by the leader's Unix clock, in milliseconds.
     pub requested_at_ms: u64,
-    /// When it ended.
+    /// When it ended, in Unix milliseconds; `None` while it is open.
     pub ended_at_ms: Option<u64>,
 }
 
 impl Job {
-    /// Whether it has not ended.
+    /// Whether the job has not ended yet.
     pub fn is_open(&self) -> bool {
         self.ended_at_ms.is_none()
     }
--- a/core/maintenance/src/planning.rs
+++ b/core/maintenance/src/planning.rs
@@ -1,6 +1,7 @@
-//! Which machines may go out of service together, and why others wait: a greedy order by how many rounds a machine's tightest limit
-//! still needs. A solver was weighed, see the design page; the order is made anew after every event, and each choice has one
-//! reason.
+//! Decides which machines may go out of service at the same time, and why others wait.
+//!
+//! Machines are chosen greedily, those first whose tightest limit needs the most rounds. The order is recomputed after
+//! every event, and each decision has exactly one reason. The design page compares this with using a solver.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,46 +12,46 @@
 use crate::report::WaitReason;
 use crate::state::MaintenanceState;
 
-/// What a plan goes by besides the replicated state: what fronts report. It may be wrong; the disruption budget holds all the
-/// same.
+/// What the leader knows from the fronts' reports, in addition to the replicated state. It may be wrong; the disruption
+/// budget is kept regardless.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Observations {
     /// Machines that are down or failing without being in maintenance.
     pub lost: BTreeSet<MachineId>,
-    /// Load by location and kind, in thousandths of the capacity of a machine of weight one.
+    /// Load per location and kind, in thousandths of the capacity of a machine of weight one.
     pub load: BTreeMap<(u16, u16), u64>,
-    /// Nothing is scheduled, for this reason.
+    /// If set, no machine is scheduled, for this reason.
     pub blocked_by: Option<WaitReason>,
-    /// Fronts with a vote that are heard.
+    /// Voting fronts with a recent report.
     pub reachable_voters: BTreeSet<FrontId>,
 }
 
 impl Observations {
-    /// Load on the kind of servers at the location of a machine.
-    pub fn load_beside(&self, spec: &MachineSpec) -> u64 {
+    /// Load on the servers of the same kind at the same location as this machine.
+    pub fn group_load(&self, spec: &MachineSpec) -> u64 {
         self.load.get(&(spec.location, spec.kind)).copied().unwrap_or(0)
     }
 }
 
-/// Which machines can be scheduled now, and why the others wait.
+/// Machines that can be scheduled now, and why the others wait.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Schedule {
-    /// In order.
+    /// Machines to schedule, in this order.
     pub machines: Vec<MachineId>,
-    /// Every requested machine with what it waits for.
+    /// The reason for every requested machine.
     pub wait_reasons: BTreeMap<MachineId, WaitReason>,
 }
 
-/// Machines with their specs.
+/// Machines and their configuration.
 type Machines<'a> = Vec<(MachineId, &'a MachineSpec)>;
 
-/// Machines in a job, by what concerns the schedule.
+/// Machines in a job, grouped for scheduling.
 #[derive(Default)]
 struct MachinesInJobs<'a> {
-    placed: Machines<'a>,
+    disrupted: Machines<'a>,
     requested: Vec<MachineId>,
     paused: Vec<MachineId>,
-    /// An overdue machine of each location that has one.
+    /// One overdue machine per location.
     overdue: BTreeMap<u16, MachineId>,
 }
 
@@ -61,8 +62,8 @@
         if progress.is_overdue {
             machines.overdue.insert(spec.location, *machine);
         }
-        if progress.stage.occupies_slot() {
-            machines.placed.push((*machine, spec));
+        if progress.stage.is_disrupted() {
+            machines.disrupted.push((*machine, spec));
         } else if state.jobs().get(&progress.job).is_some_and(|job| job.is_paused) {
             machines.paused.push(*machine);
         } else {
@@ -72,20 +73,20 @@
     machines
 }
 
-/// Which requested machines can be scheduled now, and why the others wait.
+/// Decides which requested machines can be scheduled now, and why the others wait.
 pub fn schedule(state: &MaintenanceState, observations: &Observations) -> Schedule {
-    let MachinesInJobs { mut placed, requested, paused, overdue } = machines_in_jobs(state);
+    let MachinesInJobs { mut disrupted, requested, paused, overdue } = machines_in_jobs(state);
     let mut schedule = Schedule::default();
     schedule.wait_reasons.extend(paused.into_iter().map(|machine| (machine, WaitReason::JobPaused)));
-    for machine in by_priority(state, &requested) {
+    for machine in order_by_priority(state, &requested) {
         let Some(spec) = state.machines().get(&machine) else { continue };
         let overdue_nearby = || overdue.get(&spec.location).map(|m| WaitReason::PermitOverdue(*m));
         let reason = observations
             .blocked_by
             .or_else(overdue_nearby)
-            .or_else(|| blocking_reason(state, observations, machine, spec, &placed));
+            .or_else(|| blocking_reason(state, observations, machine, spec, &disrupted));
         if reason.is_none() {
-            placed.push((machine, spec));
+            disrupted.push((machine, spec));
             schedule.machines.push(machine);
         }
         schedule.wait_reasons.insert(machine, reason.unwrap_or(WaitReason::ReadyToAdvance));
@@ -93,8 +94,8 @@
     schedule
 }
 
-/// Those first that an operator has prioritized; otherwise the tightest of all jobs.
-fn by_priority(state: &MaintenanceState, requested: &[MachineId]) -> Vec<MachineId> {
+/// Machines that an operator has prioritized come first, then those of all jobs with the tightest limits.
+fn order_by_priority(state: &MaintenanceState, requested: &[MachineId]) -> Vec<MachineId> {
     let priority = |machine: &MachineId| {
         let progress = state.progress().get(machine);
         let job = progress.and_then(|progress| state.jobs().get(&progress.job));
@@ -105,54 +106,55 @@
     order
 }
 
-/// Why this machine can't go besides those that are placed.
+/// Why this machine can't go out of service in addition to `disrupted`.
 fn blocking_reason(
     state: &MaintenanceState,
     observations: &Observations,
     machine: MachineId,
     spec: &MachineSpec,
-    placed: &[(MachineId, &MachineSpec)],
+    disrupted: &[(MachineId, &MachineSpec)],
 ) -> Option<WaitReason> {
     let budget = state.budget();
     let voters = state.voters().len();
-    if let Some(limit) = budget.exceeded_limit(voters, machine, spec, placed) {
+    if let Some(limit) = budget.exceeded_limit(voters, machine, spec, disrupted) {
         return Some(WaitReason::DisruptionLimit(limit));
     }
-    // A lost machine counts against the budget as well.
-    let is_placed = |m: &MachineId| *m == machine || placed.iter().any(|(other, _)| other == m);
-    let lost = observations.lost.iter().filter(|m| !is_placed(m));
+    // Lost machines count against the budget as well.
+    let is_disrupted = |m: &MachineId| *m == machine || disrupted.iter().any(|(other, _)| other == m);
+    let lost = observations.lost.iter().filter(|m| !is_disrupted(m));
     let lost: Machines = lost.filter_map(|m| Some((*m, state.machines().get(m)?))).collect();
-    let all: Machines = placed.iter().chain(&lost).copied().collect();
+    let all: Machines = disrupted.iter().chain(&lost).copied().collect();
     if budget.exceeded_limit(voters, machine, spec, &all).is_some() {
-        let is_near = |(m, other): &&(MachineId, &MachineSpec)| {
+        let shares_limit = |(m, other): &&(MachineId, &MachineSpec)| {
             other.location == spec.location || budget.excluded_partners(machine).any(|p| p == *m)
         };
-        let cause = lost.iter().find(is_near).or(lost.first());
+        let cause = lost.iter().find(shares_limit).or(lost.first());
         return Some(WaitReason::MachineLost(cause.map_or(machine, |(m, _)| *m)));
     }
-    if spec.hosts_voter() && !leaves_voter_majority(observations, spec, placed, voters) {
+    if spec.hosts_voter() && !leaves_voter_majority(observations, spec, disrupted, voters) {
         return Some(WaitReason::VoterMajority);
     }
-    let is_out = |m: &MachineId| is_placed(m) || observations.lost.contains(m);
+    let is_out = |m: &MachineId| is_disrupted(m) || observations.lost.contains(m);
     capacity_shortfall(budget, state.machines(), observations, spec, &is_out)
 }
 
-/// Whether the voters that are heard would still be a majority without those that are placed and this one.
+/// Whether the reachable voters would still be a majority without `disrupted` and this machine.
 fn leaves_voter_majority(
     observations: &Observations,
     spec: &MachineSpec,
-    placed: &[(MachineId, &MachineSpec)],
+    disrupted: &[(MachineId, &MachineSpec)],
     voters: usize,
 ) -> bool {
     let own = spec.front.map(|front| front.id);
     let is_out = |front: &FrontId| {
-        Some(*front) == own || placed.iter().any(|(_, s)| s.front.is_some_and(|f| f.id == *front))
+        Some(*front) == own || disrupted.iter().any(|(_, s)| s.front.is_some_and(|f| f.id == *front))
     };
     let left = observations.reachable_voters.iter().filter(|front| !is_out(front)).count();
     left * 2 > voters
 }
 
-/// Why what is left of a machine's kind at its location, without those that are out, would have too little capacity.
+/// Whether the servers of this kind at this location that are not out of service have too little capacity, as a wait
+/// reason.
 pub fn capacity_shortfall(
     budget: &DisruptionBudget,
     machines: &BTreeMap<MachineId, MachineSpec>,
@@ -163,21 +165,21 @@
     if spec.front.is_some() {
         return None;
     }
-    let alike = machines.iter().filter(|(_, other)| other.is_alike(spec));
-    let left: Vec<u64> =
-        alike.filter(|(m, _)| !is_out(m)).map(|(_, other)| u64::from(other.weight)).collect();
-    let largest = left.iter().max().copied().unwrap_or(0);
+    let group = machines.iter().filter(|(_, other)| other.is_interchangeable_with(spec));
+    let available: Vec<u64> =
+        group.filter(|(m, _)| !is_out(m)).map(|(_, other)| u64::from(other.weight)).collect();
+    let largest = available.iter().max().copied().unwrap_or(0);
     let further_loss = if budget.tolerates_further_loss { largest } else { 0 };
-    let remaining = left.iter().sum::<u64>() - further_loss;
-    let load = observations.load_beside(spec);
+    let remaining = available.iter().sum::<u64>() - further_loss;
+    let load = observations.group_load(spec);
     let required = load * (100 + u64::from(budget.capacity_margin_percent)) / 100;
-    // Some machine has to be left even where no load is measured.
-    let is_enough = !left.is_empty() && remaining >= required;
+    // At least one machine has to remain even if no load is measured.
+    let is_enough = !available.is_empty() && remaining >= required;
     let shortfall = WaitReason::CapacityShortfall { remaining: remaining as u32, required: required as u32 };
     (!is_enough).then_some(shortfall)
 }
 
-/// A group of machines that a limit counts.
+/// A group of machines that one limit applies to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum LimitGroup {
     Location { location: u16, kind: u16 },
@@ -191,7 +193,7 @@
         [location, LimitGroup::Hub(spec.hub), LimitGroup::Kind(spec.kind)]
     }
 
-    /// The limit on this group; 0 for none.
+    /// The limit for this group; 0 means no limit.
     fn limit(self, budget: &DisruptionBudget) -> u16 {
         match self {
             LimitGroup::Location { .. } => budget.per_location,
@@ -201,7 +203,7 @@
         }
     }
 
-    /// Rounds in which this many machines of the group can go.
+    /// Number of rounds that this many machines of the group need.
     fn rounds(self, budget: &DisruptionBudget, count: usize) -> usize {
         match self.limit(budget) {
             0 => 1,
@@ -218,7 +220,8 @@
     counts
 }
 
-/// Those first whose tightest limit needs the most rounds; alike ones by their names, as an operator would read them.
+/// Machines whose tightest limit needs the most rounds come first; ties are ordered by name, as an operator would
+/// expect.
 fn order_by_tightness(
     budget: &DisruptionBudget,
     machines: &BTreeMap<MachineId, MachineSpec>,
@@ -239,16 +242,16 @@
     order.into_iter().map(|(_, machine)| machine).collect()
 }
 
-/// The rounds in which machines would go if nothing else happened; for a dry run.
+/// Result of a dry run: the rounds in which machines would go out of service if nothing else changed.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct DryRun {
-    /// Machines that go together, round by round.
+    /// The machines of each round.
     pub rounds: Vec<Vec<MachineId>>,
-    /// Machines that could never go, with the reason.
+    /// Machines that could never go out of service, with the reason.
     pub blocked: BTreeMap<MachineId, WaitReason>,
 }
 
-/// The rounds in which these machines would go if nothing else happened.
+/// Computes the rounds in which these machines would go out of service if nothing else changed.
 pub fn plan_rounds(state: &MaintenanceState, observations: &Observations, machines: &[MachineId]) -> DryRun {
     let known = machines.iter().copied().filter(|m| state.machines().contains_key(m));
     let mut left: BTreeSet<MachineId> = known.collect();
@@ -256,27 +259,27 @@
     loop {
         let order =
             order_by_tightness(state.budget(), state.machines(), &left.iter().copied().collect::<Vec<_>>());
-        let mut placed: Machines = Vec::new();
+        let mut disrupted: Machines = Vec::new();
         let mut blocked = BTreeMap::new();
         for machine in order {
             let Some(spec) = state.machines().get(&machine) else { continue };
-            match blocking_reason(state, observations, machine, spec, &placed) {
+            match blocking_reason(state, observations, machine, spec, &disrupted) {
                 Some(reason) => drop(blocked.insert(machine, reason)),
-                None => placed.push((machine, spec)),
+                None => disrupted.push((machine, spec)),
             }
         }
-        if placed.is_empty() {
+        if disrupted.is_empty() {
             dry_run.blocked = blocked;
             return dry_run;
         }
-        let round: Vec<MachineId> = placed.iter().map(|(machine, _)| *machine).collect();
+        let round: Vec<MachineId> = disrupted.iter().map(|(machine, _)| *machine).collect();
         left.retain(|machine| !round.contains(machine));
         dry_run.rounds.push(round);
     }
 }
 
-/// The fewest rounds that the limits allow.
-pub fn least_rounds(
+/// A lower bound on the number of rounds, from the limits alone.
+pub fn min_rounds(
     budget: &DisruptionBudget,
     machines: &BTreeMap<MachineId, MachineSpec>,
     requested: &[MachineId],
--- a/core/maintenance/src/report.rs
+++ b/core/maintenance/src/report.rs
@@ -1,154 +1,156 @@
-//! What fronts report on machines with their lease requests, and what they are told with the responses.
+//! Reports on machines that fronts send with their lease requests, and views that they receive with the responses.
 
 use elmtide_budgets::{Clocks, Epoch, FrontId, Micros};
 use serde::{Deserialize, Serialize};
 
 use crate::budget::DisruptionLimit;
 use crate::job::{Job, JobId, MachineProgress};
-use crate::machine::{MachineId, PlacedMachine};
+use crate::machine::{DisruptedMachine, MachineId};
 
-/// Most machines that one front reports on.
+/// Maximum number of machines in one front's report.
 pub const MAX_OBSERVATIONS: usize = 512;
 
-/// How a machine looks to a front that sends to it.
+/// State of a machine as observed by a front that sends to it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum ObservedState {
-    /// It serves.
+    /// It serves requests.
     #[default]
     Ready,
-    /// The endpoint list says that it drains, or that it is not ready.
+    /// The endpoint list marks it as draining or not ready.
     Draining,
-    /// Its last attempts failed.
+    /// The last attempts there failed.
     Failing,
-    /// It is in no endpoint list.
+    /// It is not in any endpoint list.
     Absent,
 }
 
-/// What became of attempts that a front has sent since the machine's release: answered health checks are not enough. Of a
-/// parent, whose work is seen by those that it fills, what was sent counts as succeeded.
+/// Outcome of the attempts that a front has sent to a machine since its release. Successful health checks do not prove
+/// that a machine serves requests. An attempt sent to a parent counts as succeeded, because only the servers that it
+/// fills see its outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum WorkOutcome {
-    /// Nothing was sent.
+pub enum AttemptOutcome {
+    /// No attempt was sent.
     #[default]
     NoneSent,
-    /// None of it has succeeded yet.
+    /// No attempt has succeeded yet.
     NoneSucceeded,
-    /// Some of it has succeeded.
+    /// At least one attempt has succeeded.
     Succeeded,
 }
 
-/// What one front observes of one machine.
+/// One front's observation of one machine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct MachineObservation {
-    /// How it looks.
+    /// Observed state.
     pub state: ObservedState,
-    /// When its software was started by the endpoint list, Unix milliseconds; 0 if that is not known.
+    /// Start time of its software according to the endpoint list, in Unix milliseconds; 0 if unknown.
     pub started_at_ms: u64,
-    /// How far its slow start has come, in percent.
+    /// Progress of its slow start, in percent.
     pub warm_percent: u8,
-    /// Load that this front has sent there lately, in thousandths of the capacity of a machine of weight one.
+    /// Load that this front has recently sent there, in thousandths of the capacity of a machine of weight one.
     pub load: u32,
-    /// What became of it.
-    pub work: WorkOutcome,
+    /// Outcome of the attempts that were sent there.
+    pub attempt_outcome: AttemptOutcome,
 }
 
-/// What a front reports with a lease request.
+/// A front's report, sent with its lease requests.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct MaintenanceReport {
-    /// It decides by the view of this epoch, or a later one; `None` before it has one.
+    /// The front applies the view of this epoch or of a later one; `None` before it has a view.
     pub acknowledged: Option<Epoch>,
-    /// Machines that are excluded by that view and at which it has no open request.
+    /// Machines that this view excludes and at which the front has no open request.
     pub drained: Vec<MachineId>,
-    /// What it observes.
+    /// Observations of machines.
     pub observations: Vec<(MachineId, MachineObservation)>,
     /// One of its budgets is exhausted, or many purges are in progress.
     pub is_overloaded: bool,
-    /// An operator looks at this front: details are needed.
+    /// An operator has requested the status from this front, so the view has to contain details.
     pub needs_details: bool,
 }
 
 /// Why a machine does not advance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum WaitReason {
-    /// Its job is paused.
+    /// The machine's job is paused.
     JobPaused,
-    /// Others exhaust the disruption budget.
+    /// Other machines use up this limit of the disruption budget.
     DisruptionLimit(DisruptionLimit),
-    /// What would be left has less capacity than is required, both in thousandths.
+    /// The remaining machines would have less capacity than required. Both are in thousandths of the capacity of a
+    /// machine of weight one.
     CapacityShortfall {
-        /// Capacity that would be left.
+        /// Capacity of the remaining machines.
         remaining: u32,
-        /// Capacity that is required.
+        /// Required capacity.
         required: u32,
     },
-    /// The configuration names these hours.
+    /// The configuration allows no scheduling at this time of day.
     Blackout,
-    /// This front reports that a budget is exhausted.
+    /// This front reports that it is overloaded.
     FrontOverloaded(FrontId),
     /// This machine is down or failing without being in maintenance.
     MachineLost(MachineId),
-    /// The permit of this machine at the same location is overdue.
+    /// This machine at the same location is overdue.
     PermitOverdue(MachineId),
     /// This front has not acknowledged the view yet.
     NotAcknowledged(FrontId),
-    /// This front has open requests there.
+    /// This front has open requests at the machine.
     OpenRequests(FrontId),
-    /// This front is not heard, and may be sending there.
+    /// This front has sent no recent report, and may be sending to the machine.
     FrontUnreachable(FrontId),
-    /// The leader runs on it, and hands leadership over first.
+    /// The leader runs on the machine, and has to transfer leadership first.
     LeadershipTransfer,
-    /// The voters that are heard would be no majority.
+    /// The remaining reachable voters would not be a majority.
     VoterMajority,
-    /// It is released.
+    /// The machine is released and under maintenance.
     InMaintenance,
-    /// Its slow start has come this far, in percent.
+    /// The machine is in slow start, at this percentage.
     SlowStart(u8),
-    /// It answers this front with errors.
+    /// Attempts of this front at the machine fail.
     Failing(FrontId),
-    /// This front sends to it, and nothing has succeeded yet.
+    /// This front sends to the machine, and no attempt has succeeded yet.
     Unproven(FrontId),
-    /// No front has seen it ready yet.
+    /// The machine is not observed as ready.
     NotReady,
-    /// It can advance; the command waits for the log.
+    /// The machine can advance; the command has not been applied yet.
     ReadyToAdvance,
 }
 
-/// What a front is told with a lease response: the view has the response's lease.
+/// The machines in maintenance, as sent to a front with a lease response. The response's lease covers the view too.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct MaintenanceView {
-    /// Of the state that it shows.
+    /// Epoch of the replicated state that the view shows.
     pub epoch: Epoch,
-    /// Version of the machines in force.
+    /// Version of the current machine configuration.
     pub machines_version: u64,
-    /// The machines that count against the disruption budget; `None` if the front has acknowledged this epoch.
-    pub placed: Option<Vec<PlacedMachine>>,
-    /// For operators.
+    /// Machines that count against the disruption budget; `None` if the front has acknowledged this epoch.
+    pub disrupted: Option<Vec<DisruptedMachine>>,
+    /// Details for operators, if the front's report requested them.
     pub details: Option<Box<MaintenanceDetails>>,
 }
 
-/// What operators are shown.
+/// Details for operators.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct MaintenanceDetails {
-    /// All jobs that are kept.
+    /// Open jobs, and the last jobs that have ended.
     pub jobs: Vec<(JobId, Job)>,
-    /// How far each machine has come.
+    /// Progress of each machine in a job.
     pub progress: Vec<(MachineId, MachineProgress)>,
-    /// Why each machine waits.
+    /// Why each machine in a job does not advance.
     pub wait_reasons: Vec<(MachineId, WaitReason)>,
-    /// Machines that are down or failing without being in maintenance, by most fronts that observe them.
-    pub missing: Vec<MachineId>,
-    /// Median of what the last machines took, in milliseconds.
+    /// Machines that are not in maintenance and that most of the fronts observing them find down or failing.
+    pub lost: Vec<MachineId>,
+    /// Median duration of the last machines' maintenance, in milliseconds.
     pub median_duration_ms: Option<u64>,
     /// The leader's Unix clock, in milliseconds.
     pub now_ms: u64,
 }
 
-/// A view with its lease.
+/// A view and the lease on it.
 #[derive(Clone, Debug)]
 pub struct LeasedMaintenanceView {
     /// The view.
     pub view: MaintenanceView,
-    /// The moment before the request.
+    /// Clock readings taken just before the lease request was sent.
     pub requested_at: Clocks,
     /// When the lease expires, by the monotonic clock.
     pub expires_at: Micros,
--- a/core/maintenance/src/state.rs
+++ b/core/maintenance/src/state.rs
@@ -1,16 +1,19 @@
-//! The replicated state of every machine in a job: changed by commands of the log only, the same wherever they are applied. Each
-//! command keeps the disruption budget or does nothing, and none needs a clock: time comes with a command, and never goes back.
+//! The replicated maintenance state: the stage of every machine in a job.
 //!
-//! | from | command | to | by | what has to hold | undone by |
+//! It is changed only by commands of the replicated log, and applying them is deterministic. A command that would
+//! exceed the disruption budget is rejected. No command reads a clock: times are part of the command, and the state's
+//! clock never goes back.
+//!
+//! | from | command | to | by | precondition | undone by |
 //! | --- | --- | --- | --- | --- | --- |
-//! | - | `Request` | requested | operator | known, in no job | `Cancel` |
-//! | requested | `Schedule` | scheduled | leader | the disruption budget, its job not paused | `Revert`, `Cancel` |
-//! | scheduled | `Drain` | draining | leader | every front that is present has acknowledged it | `Revert`, `Cancel` |
-//! | draining | `MarkDrained` | drained | leader | no front has open requests there, or its lease has expired | `Revert`, `Cancel` |
-//! | drained | `Release` | released | leader | - | maintenance, then its return |
-//! | released | `Return` | returned | leader | the endpoint list, an operator's word, or both | - |
+//! | - | `Request` | requested | operator | configured, in no job | `Cancel` |
+//! | requested | `Schedule` | scheduled | leader | disruption budget, job not paused | `Revert`, `Cancel` |
+//! | scheduled | `Drain` | draining | leader | acknowledged by every present front | `Revert`, `Cancel` |
+//! | draining | `MarkDrained` | drained | leader | per front: no open requests, or lease expired | `Revert`, `Cancel` |
+//! | drained | `Release` | released | leader | - | `Return`, after the maintenance |
+//! | released | `Return` | returned | leader | endpoint list, operator's confirmation, or both | - |
 //! | returned | `BeginSlowStart` | slow start | leader | - | - |
-//! | slow start | `Complete` | in service | leader | it bears its load | - |
+//! | slow start | `Complete` | in service | leader | warm, and no front sees only failed attempts | - |
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -20,25 +23,25 @@
 use crate::budget::{DisruptionBudget, DisruptionLimit};
 use crate::command::{CommandRejected, MaintenanceCommand, Step};
 use crate::job::{Job, JobId, MachineProgress};
-use crate::machine::{FrontPresence, MachineId, MachineSpec, PlacedMachine, Stage};
+use crate::machine::{DisruptedMachine, FrontPresence, MachineId, MachineSpec, Stage};
 
-/// Most machines that are accounted for.
+/// Maximum number of machines in a configuration, and of machines in one command.
 pub const MAX_MACHINES: usize = 2048;
-/// Most open jobs.
+/// Maximum number of open jobs.
 pub const MAX_JOBS: usize = 32;
-/// Most fronts that are accounted for.
+/// Maximum number of fronts that are tracked.
 pub const MAX_FRONTS: usize = 2048;
-/// Most ended jobs that are still shown.
+/// Maximum number of ended jobs that are kept for display.
 const MAX_ENDED_JOBS: usize = 8;
-/// Most durations that the median is taken of.
+/// Number of durations that the median is computed from.
 const MAX_DURATIONS: usize = 32;
 const MAX_NAME_BYTES: usize = 64;
 const MAX_REASON_BYTES: usize = 200;
-/// With fewer voters none can be spared.
+/// With fewer voters, taking one out of service leaves no majority.
 const MIN_VOTERS: usize = 3;
-/// With fewer servers of a kind at a location none can be spared.
-const MIN_ALIKE: usize = 2;
-/// What a command that concerns no job gives.
+/// With fewer servers of a kind at a location, taking one out of service leaves none.
+const MIN_INTERCHANGEABLE: usize = 2;
+/// Result of a command that concerns no job.
 const NO_JOB: JobId = JobId(0);
 
 /// The replicated maintenance state.
@@ -50,17 +53,17 @@
     progress: BTreeMap<MachineId, MachineProgress>,
     jobs: BTreeMap<JobId, Job>,
     fronts: BTreeMap<FrontId, FrontPresence>,
-    /// More fronts have come than are accounted for.
+    /// More than `MAX_FRONTS` fronts have joined, so some are not tracked.
     has_untracked_fronts: bool,
     epoch: Epoch,
     last_permit: u64,
     last_job: u32,
     clock_ms: u64,
-    /// What the last machines took.
+    /// Durations of the last machines' maintenance, from scheduled to in service.
     durations_ms: VecDeque<u64>,
 }
 
-/// An operator's request.
+/// An operator's request for a new job.
 struct NewJob<'a> {
     machines: BTreeSet<MachineId>,
     requested_by: &'a str,
@@ -69,32 +72,32 @@
 }
 
 impl MaintenanceState {
-    /// Version of the machines in force; 0 before the first.
+    /// Version of the current machine configuration; 0 before the first one.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Epoch of the last change that fronts have to know of.
+    /// Epoch of the last change that fronts have to acknowledge.
     pub fn epoch(&self) -> Epoch {
         self.epoch
     }
 
-    /// The machines in force, and those that are in a job besides.
+    /// The configured machines, and machines removed from the configuration that are still in a job.
     pub fn machines(&self) -> &BTreeMap<MachineId, MachineSpec> {
         &self.machines
     }
 
-    /// How many may be out of service together.
+    /// The limits on machines that are out of service at the same time.
     pub fn budget(&self) -> &DisruptionBudget {
         &self.budget
     }
 
-    /// How far each machine in a job has come.
+    /// Progress of each machine in a job.
     pub fn progress(&self) -> &BTreeMap<MachineId, MachineProgress> {
         &self.progress
     }
 
-    /// The open jobs, and the last ones that have ended.
+    /// Open jobs, and the last jobs that have ended.
     pub fn jobs(&self) -> &BTreeMap<JobId, Job> {
         &self.jobs
     }
@@ -104,12 +107,12 @@
         &self.fronts
     }
 
-    /// The latest Unix time that a command has brought, in milliseconds.
+    /// The latest Unix time of any applied command, in milliseconds.
     pub fn clock_ms(&self) -> u64 {
         self.clock_ms
     }
 
-    /// Median of what the last machines took, in milliseconds.
+    /// Median duration of the last machines' maintenance, in milliseconds.
     pub fn median_duration_ms(&self) -> Option<u64> {
         let mut durations: Vec<u64> = self.durations_ms.iter().copied().collect();
         durations.sort_unstable();
@@ -118,7 +121,7 @@
 
     /// Whether fronts have no machine to exclude.
     pub fn excludes_nothing(&self) -> bool {
-        self.progress.values().all(|progress| !progress.stage.occupies_slot())
+        self.progress.values().all(|progress| !progress.stage.is_disrupted())
     }
 
     /// Machines that host a voter.
@@ -127,12 +130,12 @@
         voters.map(|(machine, _)| *machine).collect()
     }
 
-    /// Machines that count against the disruption budget, as fronts are told.
-    pub fn placed_machines(&self) -> Vec<PlacedMachine> {
-        let placed = self.progress.iter().filter(|(_, progress)| progress.stage.occupies_slot());
+    /// Machines that count against the disruption budget, as sent to fronts.
+    pub fn disrupted_machines(&self) -> Vec<DisruptedMachine> {
+        let disrupted = self.progress.iter().filter(|(_, progress)| progress.stage.is_disrupted());
         let address = |machine: &MachineId| self.machines.get(machine).and_then(|spec| spec.address);
-        placed
-            .map(|(machine, progress)| PlacedMachine {
+        disrupted
+            .map(|(machine, progress)| DisruptedMachine {
                 machine: *machine,
                 address: address(machine),
                 stage: progress.stage,
@@ -140,16 +143,16 @@
             .collect()
     }
 
-    /// Which limit a machine would exceed if it were scheduled now.
+    /// The limit that a machine would exceed if it were scheduled now.
     pub fn exceeded_limit_of(&self, machine: MachineId) -> Option<DisruptionLimit> {
         let spec = self.machines.get(&machine)?;
-        let others = self.progress.iter().filter(|(m, p)| p.stage.occupies_slot() && **m != machine);
+        let others = self.progress.iter().filter(|(m, p)| p.stage.is_disrupted() && **m != machine);
         let others: Vec<(MachineId, &MachineSpec)> =
             others.filter_map(|(m, _)| Some((*m, self.machines.get(m)?))).collect();
         self.budget.exceeded_limit(self.voters().len(), machine, spec, &others)
     }
 
-    /// An incarnation of a front has joined.
+    /// Tracks an incarnation of a front that has joined.
     pub fn on_join(&mut self, holder: HolderId) {
         if self.fronts.len() >= MAX_FRONTS && !self.fronts.contains_key(&holder.front) {
             self.has_untracked_fronts = true;
@@ -160,22 +163,22 @@
         self.fronts.insert(holder.front, presence);
     }
 
-    /// An incarnation of a front has left.
+    /// Forgets an incarnation of a front that has left; it sends no more requests.
     pub fn on_leave(&mut self, holder: HolderId) {
         if self.fronts.get(&holder.front).is_some_and(|f| f.incarnation == holder.incarnation) {
             self.fronts.remove(&holder.front);
         }
     }
 
-    /// A front was removed from the fleet.
+    /// Forgets a front that was removed from the fleet.
     pub fn on_removed(&mut self, front: FrontId) {
         self.fronts.remove(&front);
     }
 
-    /// Applies a command of the log; gives the job that it concerned, or job 0.
+    /// Applies a command of the log. Returns the job that it concerns, or job 0 if it concerns none.
     ///
     /// # Errors
-    /// Why the command did nothing.
+    /// The reason why the command was rejected.
     pub fn apply(&mut self, command: &MaintenanceCommand) -> Result<JobId, CommandRejected> {
         let applied = match command {
             MaintenanceCommand::UpdateMachines { version, machines, budget } => {
@@ -237,7 +240,7 @@
         }
         let mut updated: BTreeMap<MachineId, MachineSpec> =
             machines.iter().map(|spec| (MachineId::from_name(&spec.name), spec.clone())).collect();
-        // A machine that is in a job stays known.
+        // A machine that is in a job is kept even if the new configuration does not contain it.
         for (machine, spec) in &self.machines {
             if self.progress.contains_key(machine) {
                 updated.entry(*machine).or_insert_with(|| spec.clone());
@@ -265,7 +268,7 @@
         self.last_job += 1;
         let job = JobId(self.last_job);
         for machine in new_job.machines {
-            self.progress.insert(machine, self.requested(job, at_ms));
+            self.progress.insert(machine, self.new_progress(job, at_ms));
         }
         let entry = Job {
             requested_by: new_job.requested_by.to_owned(),
@@ -276,7 +279,7 @@
             prioritized: Vec::new(),
             machine_count: count as u32,
             completed: 0,
-            spared: 0,
+            cancelled_count: 0,
             requested_at_ms: at_ms,
             ended_at_ms: None,
         };
@@ -284,22 +287,23 @@
         Ok(job)
     }
 
-    /// A machine that could never be scheduled is rejected at once, not kept waiting for ever.
+    /// Rejects a machine that could never be scheduled, rather than letting it wait forever.
     fn check_requestable(&self, machine: MachineId) -> Result<(), CommandRejected> {
         let spec = self.machines.get(&machine).ok_or(CommandRejected::UnknownMachine(machine))?;
         if let Some(progress) = self.progress.get(&machine) {
             return Err(CommandRejected::AlreadyInJob(machine, progress.job));
         }
-        let alike = self.machines.values().filter(|other| other.is_alike(spec)).count();
+        let interchangeable =
+            self.machines.values().filter(|other| other.is_interchangeable_with(spec)).count();
         let is_last_voter = spec.hosts_voter() && self.voters().len() < MIN_VOTERS;
-        let is_last_server = spec.front.is_none() && alike < MIN_ALIKE;
+        let is_last_server = spec.front.is_none() && interchangeable < MIN_INTERCHANGEABLE;
         if is_last_voter || is_last_server {
             return Err(CommandRejected::LastOfItsKind(machine));
         }
         Ok(())
     }
 
-    fn requested(&self, job: JobId, at_ms: u64) -> MachineProgress {
+    fn new_progress(&self, job: JobId, at_ms: u64) -> MachineProgress {
         MachineProgress {
             job,
             stage: Stage::Requested,
@@ -317,20 +321,20 @@
 
     fn cancel(&mut self, job: JobId, machine: Option<MachineId>) -> Result<JobId, CommandRejected> {
         self.open_job(job)?;
-        let is_meant = |(m, progress): &(&MachineId, &MachineProgress)| {
+        let is_selected = |(m, progress): &(&MachineId, &MachineProgress)| {
             progress.job == job && machine.is_none_or(|one| one == **m)
         };
-        let meant: Vec<(MachineId, Stage)> =
-            self.progress.iter().filter(is_meant).map(|(m, progress)| (*m, progress.stage)).collect();
-        if meant.is_empty() && machine.is_some() {
+        let selected: Vec<(MachineId, Stage)> =
+            self.progress.iter().filter(is_selected).map(|(m, progress)| (*m, progress.stage)).collect();
+        if selected.is_empty() && machine.is_some() {
             return Err(CommandRejected::NotInJob);
         }
         if machine.is_none() {
             self.open_job(job)?.is_cancelled = true;
         }
-        for (machine, stage) in meant {
+        for (machine, stage) in selected {
             if stage < Stage::Released {
-                self.spare(job, machine, stage)?;
+                self.remove_from_job(job, machine, stage)?;
             } else if let Some(progress) = self.progress.get_mut(&machine) {
                 progress.is_cancelled = true;
             }
@@ -339,13 +343,18 @@
         Ok(job)
     }
 
-    /// Takes a machine out of its job that has not been released.
-    fn spare(&mut self, job: JobId, machine: MachineId, stage: Stage) -> Result<(), CommandRejected> {
+    /// Removes a machine that has not been released from its job.
+    fn remove_from_job(
+        &mut self,
+        job: JobId,
+        machine: MachineId,
+        stage: Stage,
+    ) -> Result<(), CommandRejected> {
         self.progress.remove(&machine);
-        if stage.occupies_slot() {
+        if stage.is_disrupted() {
             self.next_epoch();
         }
-        self.open_job(job)?.spared += 1;
+        self.open_job(job)?.cancelled_count += 1;
         Ok(())
     }
 
@@ -353,8 +362,8 @@
         if machines.len() > MAX_MACHINES {
             return Err(CommandRejected::LimitExceeded);
         }
-        let is_elsewhere = |machine: &&MachineId| self.progress.get(machine).is_none_or(|p| p.job != job);
-        if let Some(machine) = machines.iter().find(is_elsewhere) {
+        let is_not_in_job = |machine: &&MachineId| self.progress.get(machine).is_none_or(|p| p.job != job);
+        if let Some(machine) = machines.iter().find(is_not_in_job) {
             return Err(CommandRejected::UnknownMachine(*machine));
         }
         self.open_job(job)?.prioritized = machines.to_vec();
@@ -369,7 +378,7 @@
                 progress.is_confirmed = true;
                 Ok(progress.job)
             }
-            // Confirmed again: the same result.
+            // Repeating the confirmation gives the same result.
             Stage::Returned | Stage::SlowStart if progress.is_confirmed => Ok(progress.job),
             _ => Err(not_released),
         }
@@ -388,8 +397,9 @@
         for (holder, epoch) in acknowledgements {
             let presence = self.fronts.get_mut(&holder.front);
             if let Some(presence) = presence.filter(|p| p.incarnation == holder.incarnation) {
+                // A front cannot have seen an epoch that is later than the state's.
                 presence.acknowledged = presence.acknowledged.max((*epoch).min(self.epoch));
-                // It was heard, so its machine is not off.
+                // The front has reported, so its machine is not off.
                 presence.is_declared_off = false;
             }
         }
@@ -440,7 +450,7 @@
         Ok(job)
     }
 
-    /// The stage that a step leads to, if what has to hold for it does.
+    /// The stage that a step leads to, if its preconditions hold.
     fn next_stage(
         &self,
         machine: MachineId,
@@ -490,7 +500,7 @@
         }
     }
 
-    /// The machine is in service again.
+    /// Removes a machine that is in service again from its job.
     fn complete(&mut self, machine: MachineId, job: JobId, at_ms: u64) {
         let at_ms = self.advance_clock(at_ms);
         if let Some(progress) = self.progress.remove(&machine) {
@@ -519,17 +529,17 @@
         }
     }
 
-    /// A machine that exceeds a limit besides the others. No command makes one, except an update to a tighter budget than
-    /// what is out of service already.
-    pub fn find_excess(&self) -> Option<(MachineId, DisruptionLimit)> {
-        let mut placed = self.progress.iter().filter(|(_, progress)| progress.stage.occupies_slot());
-        placed.find_map(|(machine, _)| Some((*machine, self.exceeded_limit_of(*machine)?)))
+    /// Finds a machine that exceeds a limit together with the other machines out of service. No command causes this,
+    /// except an update to a budget that is already exceeded.
+    pub fn find_exceeded_limit(&self) -> Option<(MachineId, DisruptionLimit)> {
+        let mut disrupted = self.progress.iter().filter(|(_, progress)| progress.stage.is_disrupted());
+        disrupted.find_map(|(machine, _)| Some((*machine, self.exceeded_limit_of(*machine)?)))
     }
 
     /// Checks epochs, jobs and permits against each other.
     ///
     /// # Errors
-    /// The first violation that is found.
+    /// The first violation found.
     pub fn check_invariant(&self) -> Result<(), InvariantViolation> {
         for (machine, progress) in &self.progress {
             if progress.epoch > self.epoch {
@@ -547,25 +557,25 @@
     }
 }
 
-/// What is wrong with a state; never the case, whatever commands were applied.
+/// An inconsistency of the state, which no sequence of commands may cause.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvariantViolation {
-    /// A machine's epoch is later than the state's.
-    #[error("{machine:?} has epoch {epoch:?}, later than the state's")]
+    /// A machine's epoch is later than the epoch of the state.
+    #[error("{machine:?} has epoch {epoch:?}, later than the epoch of the state")]
     EpochAhead {
         /// The machine.
         machine: MachineId,
         /// Its epoch.
         epoch: Epoch,
     },
-    /// A machine is in no open job.
-    #[error("{machine:?} is in no open job")]
+    /// The job of a machine has ended or does not exist.
+    #[error("the job of {machine:?} has ended or does not exist")]
     NoOpenJob {
         /// The machine.
         machine: MachineId,
     },
     /// A machine has a permit before its release, or none after it.
-    #[error("{machine:?} is {} with permit {permit}", stage.name())]
+    #[error("{machine:?} is in stage {} with permit {permit}", stage.name())]
     WrongPermit {
         /// The machine.
         machine: MachineId,
--- a/core/maintenance/tests/coordinator.rs
+++ b/core/maintenance/tests/coordinator.rs
@@ -1,7 +1,7 @@
-//! What the leader proposes from what fronts say: steps, waits and their reasons, overdue permits, returns.
+//! Commands that the leader proposes from the fronts' reports: steps, wait reasons, overdue permits and returns.
 
 use elmtide_budgets::{Epoch, FrontId, HolderId, Incarnation};
-use elmtide_maintenance::report::{MachineObservation, ObservedState, WorkOutcome};
+use elmtide_maintenance::report::{AttemptOutcome, MachineObservation, ObservedState};
 use elmtide_maintenance::CoordinatorInput;
 use elmtide_maintenance::Step;
 use elmtide_maintenance::WaitReason;
@@ -10,14 +10,14 @@
     MaintenanceReport, MaintenanceState, Stage,
 };
 
-const LEASE: u64 = 1000;
+const LEASE_MICROS: u64 = 1000;
 
 struct Leader {
     state: MaintenanceState,
-    conductor: MaintenanceCoordinator,
+    coordinator: MaintenanceCoordinator,
     now: u64,
-    wall: u64,
-    sights: Vec<(MachineId, MachineObservation)>,
+    wall_ms: u64,
+    observations: Vec<(MachineId, MachineObservation)>,
 }
 
 fn id(name: &str) -> MachineId {
@@ -33,12 +33,13 @@
     started_at_ms: 5,
     warm_percent: 100,
     load: 10,
-    work: WorkOutcome::Succeeded,
+    attempt_outcome: AttemptOutcome::Succeeded,
 };
 
 impl Leader {
-    /// Two fronts, two machines at each of two locations; a job of two of one location and one of the other.
-    fn new(minutes: u32) -> Leader {
+    /// Two fronts, two machines at each of two locations, and a job for both machines of one location and one of the
+    /// other.
+    fn new(duration_minutes: u32) -> Leader {
         let spec = |name: &str, location| MachineSpec {
             name: name.into(),
             location,
@@ -49,69 +50,76 @@
             front: None,
         };
         let machines = vec![spec("a", 1), spec("b", 1), spec("c", 2), spec("d", 2)];
-        let bounds = DisruptionBudget {
+        let disruption_budget = DisruptionBudget {
             per_location: 1,
             blackout_minutes: vec![(60, 120)],
             ..DisruptionBudget::default()
         };
         let mut state = MaintenanceState::default();
-        state.apply(&MaintenanceCommand::UpdateMachines { version: 1, machines, budget: bounds }).unwrap();
+        state
+            .apply(&MaintenanceCommand::UpdateMachines { version: 1, machines, budget: disruption_budget })
+            .unwrap();
         (1..=2).for_each(|front| state.on_join(holder(front)));
         let machines = vec![id("a"), id("b"), id("c")];
-        let job = MaintenanceCommand::Request {
+        let request = MaintenanceCommand::Request {
             machines,
             requested_by: "op".into(),
             reason: String::new(),
-            expected_minutes: minutes,
+            expected_minutes: duration_minutes,
             at_ms: 0,
         };
-        state.apply(&job).unwrap();
-        let sights = ["a", "b", "c", "d"].map(|m| (id(m), READY)).to_vec();
-        let mut leader =
-            Leader { state, conductor: MaintenanceCoordinator::new(), now: 10_000, wall: 1000, sights };
-        leader.say(&[1, 2]);
+        state.apply(&request).unwrap();
+        let observations = ["a", "b", "c", "d"].map(|m| (id(m), READY)).to_vec();
+        let mut leader = Leader {
+            state,
+            coordinator: MaintenanceCoordinator::new(),
+            now: 10_000,
+            wall_ms: 1000,
+            observations,
+        };
+        leader.report_all_drained(&[1, 2]);
         leader
     }
 
-    /// These fronts have seen all that there is, and are clear of all.
-    fn say(&mut self, fronts: &[u64]) {
-        let clear: Vec<MachineId> = self.state.progress().keys().copied().collect();
+    /// These fronts report that they have acknowledged the current epoch and have no open requests at any machine.
+    fn report_all_drained(&mut self, fronts: &[u64]) {
+        let drained_machines: Vec<MachineId> = self.state.progress().keys().copied().collect();
         for front in fronts {
-            let sights = self.sights.clone();
-            let said = MaintenanceReport {
+            let current_observations = self.observations.clone();
+            let report = MaintenanceReport {
                 acknowledged: Some(self.state.epoch()),
-                drained: clear.clone(),
-                observations: sights,
+                drained: drained_machines.clone(),
+                observations: current_observations,
                 ..MaintenanceReport::default()
             };
-            self.conductor.on_report(&self.state, holder(*front), said, self.now);
+            self.coordinator.on_report(&self.state, holder(*front), report, self.now);
         }
     }
 
     fn propose(&mut self) -> Vec<MaintenanceCommand> {
         let now = self.now;
-        let over_at = |_| now + 1;
-        let now = CoordinatorInput {
+        let requests_ended_at = |_| now + 1;
+        let input = CoordinatorInput {
             monotonic: now,
-            wall_ms: self.wall,
-            lease: LEASE,
-            own: FrontId(9),
-            drained_at: &over_at,
+            wall_ms: self.wall_ms,
+            lease: LEASE_MICROS,
+            own_front: FrontId(9),
+            requests_ended_at: &requests_ended_at,
         };
-        self.conductor.propose(&self.state, &now).commands
+        self.coordinator.propose(&self.state, &input).commands
     }
 
-    /// What is refused changes nothing.
+    /// Applies commands; rejected ones change nothing.
     fn apply(&mut self, commands: &[MaintenanceCommand]) {
         for command in commands {
             let _ = self.state.apply(command);
         }
     }
 
-    /// Proposes and applies until nothing more comes, both fronts saying all after each.
-    fn go(&mut self) {
+    /// Proposes and applies often enough that nothing more changes; both fronts report before each round.
+    fn advance_until_idle(&mut self) {
         for _ in 0..12 {
-            self.say(&[1, 2]);
+            self.report_all_drained(&[1, 2]);
             for command in self.propose() {
                 let _ = self.state.apply(&command);
             }
@@ -119,72 +127,88 @@
     }
 
     fn stage(&self, name: &str) -> Option<Stage> {
-        self.state.progress().get(&id(name)).map(|w| w.stage)
+        self.state.progress().get(&id(name)).map(|progress| progress.stage)
     }
 
-    fn wait(&mut self, name: &str) -> Option<WaitReason> {
+    fn wait_reason(&mut self, name: &str) -> Option<WaitReason> {
         self.propose();
-        let said = MaintenanceReport {
+        let report = MaintenanceReport {
             acknowledged: Some(self.state.epoch()),
             needs_details: true,
             ..MaintenanceReport::default()
         };
-        self.conductor.on_report(&self.state, holder(1), said, self.now);
-        let view = self.conductor.view(&self.state, holder(1), self.wall)?;
-        let found =
-            view.details?.wait_reasons.into_iter().find(|(m, _)| *m == id(name)).map(|(_, wait)| wait);
-        self.say(&[1]);
-        found
+        self.coordinator.on_report(&self.state, holder(1), report, self.now);
+        let view = self.coordinator.view(&self.state, holder(1), self.wall_ms)?;
+        let reason =
+            view.details?.wait_reasons.into_iter().find(|(m, _)| *m == id(name)).map(|(_, reason)| reason);
+        self.report_all_drained(&[1]);
+        reason
     }
 
-    fn set(&mut self, name: &str, sight: MachineObservation) {
-        self.sights.iter_mut().filter(|(m, _)| *m == id(name)).for_each(|(_, s)| *s = sight);
-        self.say(&[1, 2]);
+    fn set_observation(&mut self, name: &str, observation: MachineObservation) {
+        self.observations
+            .iter_mut()
+            .filter(|(m, _)| *m == id(name))
+            .for_each(|(_, current)| *current = observation);
+        self.report_all_drained(&[1, 2]);
     }
 }
 
 #[test]
-fn one_of_each_location_goes_and_comes_back_when_it_bears_its_load() {
+fn one_machine_per_location_is_released_and_completes_once_its_attempts_succeed() {
     let mut leader = Leader::new(0);
-    leader.go();
+    leader.advance_until_idle();
     assert_eq!(
         ["a", "b", "c"].map(|m| leader.stage(m)),
         [Some(Stage::Released), Some(Stage::Requested), Some(Stage::Released)]
     );
-    assert_eq!(leader.wait("c"), Some(WaitReason::InMaintenance));
-    // The same start as when it was let go is no return.
-    leader.go();
+    assert_eq!(leader.wait_reason("c"), Some(WaitReason::InMaintenance));
+    // The same start time as at its release does not count as a return.
+    leader.advance_until_idle();
     assert_eq!(leader.stage("a"), Some(Stage::Released));
-    leader.set("a", MachineObservation { state: ObservedState::Failing, started_at_ms: 9, ..READY });
-    leader.go();
-    assert_eq!(leader.stage("a"), Some(Stage::Returned), "there again, and fails");
-    assert_eq!(leader.wait("a"), Some(WaitReason::Failing(FrontId(1))));
-    leader.set("a", MachineObservation { started_at_ms: 9, warm_percent: 40, ..READY });
-    leader.go();
+    leader.set_observation(
+        "a",
+        MachineObservation { state: ObservedState::Failing, started_at_ms: 9, ..READY },
+    );
+    leader.advance_until_idle();
+    assert_eq!(leader.stage("a"), Some(Stage::Returned), "listed again, and failing");
+    assert_eq!(leader.wait_reason("a"), Some(WaitReason::Failing(FrontId(1))));
+    leader.set_observation("a", MachineObservation { started_at_ms: 9, warm_percent: 40, ..READY });
+    leader.advance_until_idle();
     assert_eq!(
-        (leader.stage("a"), leader.wait("a")),
+        (leader.stage("a"), leader.wait_reason("a")),
         (Some(Stage::SlowStart), Some(WaitReason::SlowStart(40)))
     );
-    leader.set("a", MachineObservation { started_at_ms: 9, work: WorkOutcome::NoneSucceeded, ..READY });
-    leader.go();
-    assert_eq!(leader.wait("a"), Some(WaitReason::Unproven(FrontId(1))), "it answers, and does nothing well");
-    leader.set("a", MachineObservation { started_at_ms: 9, work: WorkOutcome::NoneSent, ..READY });
-    leader.go();
-    assert_eq!(leader.stage("a"), Some(Stage::SlowStart), "nobody sends to it yet");
-    leader.set("a", MachineObservation { started_at_ms: 9, ..READY });
-    leader.go();
+    leader.set_observation(
+        "a",
+        MachineObservation { started_at_ms: 9, attempt_outcome: AttemptOutcome::NoneSucceeded, ..READY },
+    );
+    leader.advance_until_idle();
+    assert_eq!(
+        leader.wait_reason("a"),
+        Some(WaitReason::Unproven(FrontId(1))),
+        "healthy, but no attempt has succeeded"
+    );
+    leader.set_observation(
+        "a",
+        MachineObservation { started_at_ms: 9, attempt_outcome: AttemptOutcome::NoneSent, ..READY },
+    );
+    leader.advance_until_idle();
+    assert_eq!(leader.stage("a"), Some(Stage::SlowStart), "no attempt was sent to it yet");
+    leader.set_observation("a", MachineObservation { started_at_ms: 9, ..READY });
+    leader.advance_until_idle();
     assert_eq!(leader.stage("a"), None);
-    assert_eq!(leader.stage("b"), Some(Stage::Released), "then the next of its location goes");
+    assert_eq!(leader.stage("b"), Some(Stage::Released), "the next machine of its location follows");
 }
 
 #[test]
-fn a_permit_that_is_overdue_stops_its_location() {
+fn an_overdue_permit_blocks_other_machines_of_its_location() {
     let mut leader = Leader::new(1);
-    leader.go();
-    leader.wall += 61_000;
-    leader.go();
+    leader.advance_until_idle();
+    leader.wall_ms += 61_000;
+    leader.advance_until_idle();
     assert!(leader.state.progress()[&id("a")].is_overdue);
-    // Its place is free again by a layout that lets two go: still nothing new goes there.
+    // A new budget without limits would allow another machine of the location: the overdue permit still blocks it.
     let specs: Vec<MachineSpec> = leader.state.machines().values().cloned().collect();
     leader
         .state
@@ -194,81 +218,86 @@
             budget: DisruptionBudget::default(),
         })
         .unwrap();
-    leader.go();
+    leader.advance_until_idle();
     assert_eq!(
-        (leader.stage("b"), leader.wait("b")),
+        (leader.stage("b"), leader.wait_reason("b")),
         (Some(Stage::Requested), Some(WaitReason::PermitOverdue(id("a"))))
     );
 }
 
 #[test]
-fn what_stops_new_ones_is_said() {
+fn a_machine_that_cannot_be_scheduled_has_the_reason() {
     let mut leader = Leader::new(0);
-    leader.wall = 90 * 60_000;
-    assert_eq!(leader.wait("a"), Some(WaitReason::Blackout));
-    leader.wall = 0;
-    let said = MaintenanceReport {
+    leader.wall_ms = 90 * 60_000;
+    assert_eq!(leader.wait_reason("a"), Some(WaitReason::Blackout));
+    leader.wall_ms = 0;
+    let report = MaintenanceReport {
         acknowledged: Some(Epoch(0)),
         is_overloaded: true,
         ..MaintenanceReport::default()
     };
-    leader.conductor.on_report(&leader.state, holder(2), said, leader.now);
-    assert_eq!(leader.wait("a"), Some(WaitReason::FrontOverloaded(FrontId(2))));
-    leader.say(&[2]);
-    assert_eq!(leader.wait("a"), Some(WaitReason::ReadyToAdvance));
-    leader.now += LEASE + 1;
-    leader.say(&[1]);
-    assert_eq!(leader.wait("a"), Some(WaitReason::FrontUnreachable(FrontId(2))));
-    leader.say(&[2]);
-    leader.set("b", MachineObservation { state: ObservedState::Absent, ..READY });
-    assert_eq!(leader.wait("a"), Some(WaitReason::MachineLost(id("b"))));
+    leader.coordinator.on_report(&leader.state, holder(2), report, leader.now);
+    assert_eq!(leader.wait_reason("a"), Some(WaitReason::FrontOverloaded(FrontId(2))));
+    leader.report_all_drained(&[2]);
+    assert_eq!(leader.wait_reason("a"), Some(WaitReason::ReadyToAdvance));
+    leader.now += LEASE_MICROS + 1;
+    leader.report_all_drained(&[1]);
+    assert_eq!(leader.wait_reason("a"), Some(WaitReason::FrontUnreachable(FrontId(2))));
+    leader.report_all_drained(&[2]);
+    leader.set_observation("b", MachineObservation { state: ObservedState::Absent, ..READY });
+    assert_eq!(leader.wait_reason("a"), Some(WaitReason::MachineLost(id("b"))));
 }
 
 #[test]
-fn next_waits_for_all_and_leaving_for_what_is_open() {
+fn scheduled_waits_for_acknowledgements_and_draining_for_open_requests() {
     let mut leader = Leader::new(0);
-    let next = leader.propose();
+    let scheduling = leader.propose();
     assert!(
-        next.iter().all(|c| matches!(c, MaintenanceCommand::Advance { step: Step::Schedule, .. })),
-        "{next:?}"
+        scheduling.iter().all(|c| matches!(c, MaintenanceCommand::Advance { step: Step::Schedule, .. })),
+        "{scheduling:?}"
     );
-    leader.apply(&next);
-    leader.say(&[1]);
+    leader.apply(&scheduling);
+    leader.report_all_drained(&[1]);
     assert_eq!(
-        leader.wait("a"),
+        leader.wait_reason("a"),
         Some(WaitReason::NotAcknowledged(FrontId(1))),
-        "what they have said has to be agreed on first"
+        "the acknowledgement has to be in the replicated state first"
     );
-    let seen = leader.propose();
-    leader.apply(&seen);
-    assert_eq!(leader.wait("a"), Some(WaitReason::NotAcknowledged(FrontId(2))));
-    leader.say(&[1, 2]);
+    let acknowledging = leader.propose();
+    leader.apply(&acknowledging);
+    assert_eq!(leader.wait_reason("a"), Some(WaitReason::NotAcknowledged(FrontId(2))));
+    leader.report_all_drained(&[1, 2]);
     let proposed = leader.propose();
     leader.apply(&proposed);
     let proposed = leader.propose();
     leader.apply(&proposed);
     assert_eq!(leader.stage("a"), Some(Stage::Draining));
-    let said = MaintenanceReport {
+    let report = MaintenanceReport {
         acknowledged: Some(leader.state.epoch()),
-        observations: leader.sights.clone(),
+        observations: leader.observations.clone(),
         ..MaintenanceReport::default()
     };
-    (1..=2).for_each(|f| leader.conductor.on_report(&leader.state, holder(f), said.clone(), leader.now));
-    assert_eq!(leader.wait("a"), Some(WaitReason::OpenRequests(FrontId(1))));
-    // The first one has said that it is clear of it since.
-    assert_eq!(leader.wait("a"), Some(WaitReason::OpenRequests(FrontId(2))));
+    (1..=2).for_each(|front| {
+        leader.coordinator.on_report(&leader.state, holder(front), report.clone(), leader.now)
+    });
+    assert_eq!(leader.wait_reason("a"), Some(WaitReason::OpenRequests(FrontId(1))));
+    // `wait_reason` has made the first front report that the machine is drained.
+    assert_eq!(leader.wait_reason("a"), Some(WaitReason::OpenRequests(FrontId(2))));
 }
 
-/// A job is held in the midst of its way: what is not let go stays where it is.
+/// A job that is paused halfway: machines that have not been released stay in their stage.
 #[test]
-fn a_held_job_stays_where_it_is() {
+fn machines_of_a_paused_job_keep_their_stage_until_it_resumes() {
     let mut leader = Leader::new(0);
     let proposed = leader.propose();
     leader.apply(&proposed);
     leader.state.apply(&MaintenanceCommand::PauseJob { job: JobId(1) }).unwrap();
-    leader.go();
-    assert_eq!((leader.stage("a"), leader.wait("a")), (Some(Stage::Scheduled), Some(WaitReason::JobPaused)));
+    leader.advance_until_idle();
+    assert_eq!(
+        (leader.stage("a"), leader.wait_reason("a")),
+        (Some(Stage::Scheduled), Some(WaitReason::JobPaused))
+    );
     leader.state.apply(&MaintenanceCommand::ResumeJob { job: JobId(1) }).unwrap();
-    leader.go();
+    leader.advance_until_idle();
     assert_eq!(leader.stage("a"), Some(Stage::Released));
 }
--- a/core/maintenance/tests/permit_model.rs
+++ b/core/maintenance/tests/permit_model.rs
@@ -1,5 +1,6 @@
-//! Permits in every order, for small numbers: two fronts, one machine, messages late or lost, a leader that changes, a front that starts again, a
-//! job that is called off and asked for again. The very code that is in service runs here. Three wrong variants are each found.
+//! Model of permits for a small fleet: two fronts, one machine that is released, messages that are late or lost, a
+//! leader change, a front restart, and a job that is cancelled and requested again. It checks every order of these
+//! events and runs the production code. Each of four deliberately wrong variants has to be detected.
 
 use std::hash::{Hash, Hasher};
 
@@ -13,65 +14,69 @@
 };
 use stateright::{Checker, Model, Property};
 
-/// A step of time, a lease, how long a request is open, and the end of time.
-const UNIT: u64 = 1000;
-const LEASE: u64 = 2;
-const OPEN: u64 = 1;
-const END: u64 = 5;
+/// Length of a tick, the unit of the model's time, in microseconds.
+const TICK_MICROS: u64 = 1000;
+/// Duration of a lease.
+const LEASE_TICKS: u64 = 2;
+/// How long a request is open.
+const REQUEST_TICKS: u64 = 1;
+/// Time does not advance beyond this tick.
+const END_TICK: u64 = 5;
 
-const TERMS: LeaseSettings = LeaseSettings {
-    duration: LEASE * UNIT,
+const LEASE_SETTINGS: LeaseSettings = LeaseSettings {
+    duration: LEASE_TICKS * TICK_MICROS,
     drift: 0.0,
     slack: 0,
     max_clock_divergence: 10,
-    max_request_deadline: OPEN * UNIT,
+    max_request_deadline: REQUEST_TICKS * TICK_MICROS,
 };
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Variant {
-    Right,
-    /// A permit when one of the two has said that it has nothing open.
-    SomeWord,
-    /// A front looks at its view and not at the lease on it.
-    NoLease,
-    /// A step counts whatever has changed since it was proposed.
-    NoNumber,
-    /// Nothing is waited for before a machine leaves.
-    NoNext,
+    Correct,
+    /// A permit is issued once either front has reported that it has no open request.
+    AnyFrontDrained,
+    /// A front applies its view and ignores whether the lease on it has expired.
+    LeaseIgnored,
+    /// A step is accepted even if the machine's epoch has changed since it was proposed.
+    EpochIgnored,
+    /// Draining begins without waiting until the fronts acknowledge the scheduled stage.
+    AcknowledgementIgnored,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 struct Front {
     incarnation: u64,
-    viewer: MaintenanceExclusions,
+    exclusions: MaintenanceExclusions,
     open_until: u64,
 }
 
-/// An answer under way.
+/// A lease response in flight.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Answer {
+struct Response {
     incarnation: u64,
-    asked: u64,
+    requested_tick: u64,
     view: MaintenanceView,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 struct World {
     now: u64,
-    agreed: MaintenanceState,
-    /// Proposed and not applied yet, with the numbers that they were made for.
-    proposed: Vec<MaintenanceCommand>,
-    conductor: MaintenanceCoordinator,
-    began: u64,
-    answered: [u64; 2],
+    replicated: MaintenanceState,
+    /// Commands that are proposed and not applied yet, with the epochs that they were decided for.
+    pending: Vec<MaintenanceCommand>,
+    coordinator: MaintenanceCoordinator,
+    elected_tick: u64,
+    last_response_tick: [u64; 2],
     fronts: [Front; 2],
-    /// The last answer to each front that is still under way, and whether it has ever said that it is clear.
-    net: [Option<Answer>; 2],
-    word: bool,
-    /// What has gone wrong so far: a new leader, a front started again, a job called off and asked for anew, an answer or a
-    /// proposal that is late.
-    troubles: [u8; 5],
-    sends: u8,
+    /// The last response to each front that is still in flight.
+    in_flight: [Option<Response>; 2],
+    /// Whether any front has ever reported the machine as drained.
+    any_reported_drained: bool,
+    /// Number of faults so far, by index: 0 leader change, 1 front restart, 2 job cancelled and requested again, 3
+    /// delayed response, 4 delayed proposal.
+    faults: [u8; 5],
+    sent_count: u8,
 }
 
 impl Eq for World {}
@@ -85,41 +90,41 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Action {
     Tick,
-    /// An ask and its answer, and another one that says what was seen, at once.
-    Trip(usize),
-    /// An ask, whose answer is under way until it is delivered or another one is.
-    Ask(usize),
+    /// Two lease requests with their responses, without delay; the second one acknowledges the first view.
+    Exchange(usize),
+    /// A lease request whose response is in flight until it is delivered or replaced by another one.
+    Request(usize),
     Deliver(usize),
-    /// All that the leader proposes is applied at once.
+    /// The leader proposes, and all commands are applied at once.
     Propose,
-    /// It is under way, and applied later.
-    ProposeLate,
+    /// The leader proposes, and one command is applied later.
+    ProposeDelayed,
     Commit,
     Send(usize),
     NewLeader,
     Restart(usize),
-    Recall,
+    CancelAndRequest,
 }
 
-struct Permits(Variant);
+struct PermitModel(Variant);
 
 fn machine() -> MachineId {
     MachineId::from_name("a")
 }
 
 fn clocks(now: u64) -> Clocks {
-    Clocks { monotonic: 1_000_000 + now * UNIT, wall: 9_000_000 + now * UNIT }
+    Clocks { monotonic: 1_000_000 + now * TICK_MICROS, wall: 9_000_000 + now * TICK_MICROS }
 }
 
 fn holder(front: usize, incarnation: u64) -> HolderId {
     HolderId { front: FrontId(front as u64 + 1), incarnation: Incarnation(incarnation) }
 }
 
-fn viewer() -> MaintenanceExclusions {
-    MaintenanceExclusions::new(TERMS, [(machine(), None)])
+fn new_exclusions() -> MaintenanceExclusions {
+    MaintenanceExclusions::new(LEASE_SETTINGS, [(machine(), None)])
 }
 
-fn out() -> MaintenanceCommand {
+fn request_command() -> MaintenanceCommand {
     MaintenanceCommand::Request {
         machines: vec![machine()],
         requested_by: String::new(),
@@ -129,47 +134,48 @@
     }
 }
 
-impl Permits {
-    fn keeps_off(&self, front: &Front, now: u64) -> bool {
+impl PermitModel {
+    fn excludes(&self, front: &Front, now: u64) -> bool {
         match self.0 {
-            Variant::NoLease => match front.viewer.stage(machine()) {
-                None => !front.viewer.has_view(),
+            Variant::LeaseIgnored => match front.exclusions.stage(machine()) {
+                None => !front.exclusions.has_view(),
                 Some(stage) => stage.is_excluded(),
             },
-            _ => front.viewer.is_excluded(machine(), clocks(now)),
+            _ => front.exclusions.is_excluded(machine(), clocks(now)),
         }
     }
 
-    fn ask(&self, world: &mut World, place: usize) -> Option<Answer> {
+    fn request_lease(&self, world: &mut World, index: usize) -> Option<Response> {
         let now = clocks(world.now);
-        let front = &world.fronts[place];
-        let open = front.open_until > world.now;
-        let clear: Vec<MachineId> = front.viewer.excluded_by_view().filter(|_| !open).collect();
-        let sight = MachineObservation { state: ObservedState::Ready, ..MachineObservation::default() };
-        let said = MaintenanceReport {
-            acknowledged: front.viewer.has_view().then(|| front.viewer.epoch()),
-            drained: clear.clone(),
-            observations: vec![(machine(), sight)],
+        let front = &world.fronts[index];
+        let has_open_request = front.open_until > world.now;
+        let drained_machines: Vec<MachineId> =
+            front.exclusions.excluded_by_view().filter(|_| !has_open_request).collect();
+        let observation = MachineObservation { state: ObservedState::Ready, ..MachineObservation::default() };
+        let report = MaintenanceReport {
+            acknowledged: front.exclusions.has_view().then(|| front.exclusions.epoch()),
+            drained: drained_machines.clone(),
+            observations: vec![(machine(), observation)],
             ..MaintenanceReport::default()
         };
-        let (incarnation, asked) = (front.incarnation, world.now);
-        world.word |= !clear.is_empty();
-        world.conductor.on_report(&world.agreed, holder(place, incarnation), said, now.monotonic);
-        let view = world.conductor.view(&world.agreed, holder(place, incarnation), 0)?;
-        world.answered[place] = world.now;
-        Some(Answer { incarnation, asked, view })
+        let (incarnation, requested_tick) = (front.incarnation, world.now);
+        world.any_reported_drained |= !drained_machines.is_empty();
+        world.coordinator.on_report(&world.replicated, holder(index, incarnation), report, now.monotonic);
+        let view = world.coordinator.view(&world.replicated, holder(index, incarnation), 0)?;
+        world.last_response_tick[index] = world.now;
+        Some(Response { incarnation, requested_tick, view })
     }
 
-    fn deliver(&self, world: &mut World, place: usize, answer: Answer) {
+    fn deliver(&self, world: &mut World, index: usize, response: Response) {
         let now = clocks(world.now);
-        let front = &mut world.fronts[place];
-        if front.incarnation == answer.incarnation {
-            let ends = clocks(answer.asked + LEASE).monotonic;
-            front.viewer.apply(
+        let front = &mut world.fronts[index];
+        if front.incarnation == response.incarnation {
+            let lease_end = clocks(response.requested_tick + LEASE_TICKS).monotonic;
+            front.exclusions.apply(
                 &LeasedMaintenanceView {
-                    view: answer.view,
-                    requested_at: clocks(answer.asked),
-                    expires_at: ends,
+                    view: response.view,
+                    requested_at: clocks(response.requested_tick),
+                    expires_at: lease_end,
                 },
                 now,
             );
@@ -177,41 +183,56 @@
     }
 
     fn apply(&self, world: &mut World, mut command: MaintenanceCommand) {
-        if let (Variant::NoNumber, MaintenanceCommand::Advance { epoch: number, .. }) = (self.0, &mut command)
+        if let (Variant::EpochIgnored, MaintenanceCommand::Advance { epoch: current_epoch, .. }) =
+            (self.0, &mut command)
         {
-            *number = world.agreed.progress().get(&machine()).map_or(Epoch(0), |w| w.epoch);
+            *current_epoch =
+                world.replicated.progress().get(&machine()).map_or(Epoch(0), |progress| progress.epoch);
         }
-        let _ = world.agreed.apply(&command);
+        let _ = world.replicated.apply(&command);
     }
 
     fn propose(&self, world: &mut World) -> Vec<MaintenanceCommand> {
-        let answered = world.answered;
-        let (began, incarnations) = (world.began, world.fronts.each_ref().map(|f| f.incarnation));
-        let over_at = |holder: HolderId| {
+        let last_response_tick = world.last_response_tick;
+        let (elected_tick, incarnations) =
+            (world.elected_tick, world.fronts.each_ref().map(|f| f.incarnation));
+        let requests_ended_at = |holder: HolderId| {
             let front = holder.front.0 as usize - 1;
-            let heard = if holder.incarnation.0 == incarnations[front] { answered[front] } else { began };
-            clocks(heard.max(began) + LEASE + OPEN).monotonic
+            let last_response = if holder.incarnation.0 == incarnations[front] {
+                last_response_tick[front]
+            } else {
+                elected_tick
+            };
+            clocks(last_response.max(elected_tick) + LEASE_TICKS + REQUEST_TICKS).monotonic
         };
-        let steady = clocks(world.now).monotonic;
-        let now = CoordinatorInput {
-            monotonic: steady,
+        let monotonic_now = clocks(world.now).monotonic;
+        let input = CoordinatorInput {
+            monotonic: monotonic_now,
             wall_ms: 0,
-            lease: LEASE * UNIT,
-            own: FrontId(9),
-            drained_at: &over_at,
+            lease: LEASE_TICKS * TICK_MICROS,
+            own_front: FrontId(9),
+            requests_ended_at: &requests_ended_at,
         };
-        let proposal = world.conductor.propose(&world.agreed, &now);
+        let proposal = world.coordinator.propose(&world.replicated, &input);
         let mut proposed = proposal.commands;
-        let way = world.agreed.progress().get(&machine()).map(|w| (w.stage, w.epoch));
-        let step =
-            |number, step| MaintenanceCommand::Advance { machine: machine(), epoch: number, step, at_ms: 0 };
-        match (self.0, way) {
-            (Variant::SomeWord, Some((Stage::Draining, number))) if world.word => {
-                proposed.push(step(number, Step::MarkDrained));
+        let stage_and_epoch =
+            world.replicated.progress().get(&machine()).map(|progress| (progress.stage, progress.epoch));
+        let advance_command = |current_epoch, step| MaintenanceCommand::Advance {
+            machine: machine(),
+            epoch: current_epoch,
+            step,
+            at_ms: 0,
+        };
+        match (self.0, stage_and_epoch) {
+            (Variant::AnyFrontDrained, Some((Stage::Draining, current_epoch)))
+                if world.any_reported_drained =>
+            {
+                proposed.push(advance_command(current_epoch, Step::MarkDrained));
             }
-            (Variant::NoNext, Some((Stage::Scheduled, number))) => {
-                let seen: Vec<_> = (0..2).map(|f| (holder(f, world.fronts[f].incarnation), number)).collect();
-                proposed.push(MaintenanceCommand::Acknowledge { acknowledgements: seen });
+            (Variant::AcknowledgementIgnored, Some((Stage::Scheduled, current_epoch))) => {
+                let acknowledged: Vec<_> =
+                    (0..2).map(|f| (holder(f, world.fronts[f].incarnation), current_epoch)).collect();
+                proposed.push(MaintenanceCommand::Acknowledge { acknowledgements: acknowledged });
             }
             _ => {}
         }
@@ -219,7 +240,7 @@
     }
 }
 
-impl Model for Permits {
+impl Model for PermitModel {
     type State = World;
     type Action = Action;
 
@@ -233,113 +254,114 @@
             address: None,
             front: None,
         };
-        let mut agreed = MaintenanceState::default();
-        let bounds = DisruptionBudget {
+        let mut replicated = MaintenanceState::default();
+        let disruption_budget = DisruptionBudget {
             tolerates_further_loss: false,
             per_location: 1,
             ..DisruptionBudget::default()
         };
-        agreed
+        replicated
             .apply(&MaintenanceCommand::UpdateMachines {
                 version: 1,
                 machines: vec![spec("a"), spec("b")],
-                budget: bounds,
+                budget: disruption_budget,
             })
             .unwrap();
-        let mut fronts = [0, 1].map(|_| Front { incarnation: 1, viewer: viewer(), open_until: 0 });
-        let first =
-            MaintenanceView { epoch: Epoch(0), machines_version: 1, placed: Some(vec![]), details: None };
-        let mut conductor = MaintenanceCoordinator::new();
-        for (place, front) in fronts.iter_mut().enumerate() {
-            agreed.on_join(holder(place, 1));
-            let told = LeasedMaintenanceView {
-                view: first.clone(),
+        let mut fronts =
+            [0, 1].map(|_| Front { incarnation: 1, exclusions: new_exclusions(), open_until: 0 });
+        let empty_view =
+            MaintenanceView { epoch: Epoch(0), machines_version: 1, disrupted: Some(vec![]), details: None };
+        let mut coordinator = MaintenanceCoordinator::new();
+        for (index, front) in fronts.iter_mut().enumerate() {
+            replicated.on_join(holder(index, 1));
+            let leased = LeasedMaintenanceView {
+                view: empty_view.clone(),
                 requested_at: clocks(0),
-                expires_at: clocks(LEASE).monotonic,
+                expires_at: clocks(LEASE_TICKS).monotonic,
             };
-            front.viewer.apply(&told, clocks(0));
-            let said = MaintenanceReport { acknowledged: Some(Epoch(0)), ..MaintenanceReport::default() };
-            conductor.on_report(&agreed, holder(place, 1), said, clocks(0).monotonic);
+            front.exclusions.apply(&leased, clocks(0));
+            let report = MaintenanceReport { acknowledged: Some(Epoch(0)), ..MaintenanceReport::default() };
+            coordinator.on_report(&replicated, holder(index, 1), report, clocks(0).monotonic);
         }
-        agreed.apply(&out()).unwrap();
+        replicated.apply(&request_command()).unwrap();
         vec![World {
             now: 0,
-            agreed,
-            proposed: Vec::new(),
-            conductor,
-            began: 0,
-            answered: [0, 0],
+            replicated,
+            pending: Vec::new(),
+            coordinator,
+            elected_tick: 0,
+            last_response_tick: [0, 0],
             fronts,
-            net: [None, None],
-            word: false,
-            troubles: [0; 5],
-            sends: 0,
+            in_flight: [None, None],
+            any_reported_drained: false,
+            faults: [0; 5],
+            sent_count: 0,
         }]
     }
 
     fn actions(&self, world: &World, actions: &mut Vec<Action>) {
-        // Each trouble once, and two of them in all.
-        let may = |trouble: usize| world.troubles[trouble] < 1 && world.troubles.iter().sum::<u8>() < 2;
-        if world.now < END {
+        // Each fault occurs at most once, and at most two faults in total.
+        let may_occur = |fault: usize| world.faults[fault] < 1 && world.faults.iter().sum::<u8>() < 2;
+        if world.now < END_TICK {
             actions.push(Action::Tick);
         }
         for front in 0..2 {
-            actions.push(Action::Trip(front));
-            if may(3) {
-                actions.push(Action::Ask(front));
+            actions.push(Action::Exchange(front));
+            if may_occur(3) {
+                actions.push(Action::Request(front));
             }
-            if world.net[front].is_some() {
+            if world.in_flight[front].is_some() {
                 actions.push(Action::Deliver(front));
             }
-            if world.sends < 1 && !self.keeps_off(&world.fronts[front], world.now) {
+            if world.sent_count < 1 && !self.excludes(&world.fronts[front], world.now) {
                 actions.push(Action::Send(front));
             }
-            if may(1) {
+            if may_occur(1) {
                 actions.push(Action::Restart(front));
             }
         }
         actions.push(Action::Propose);
-        if !world.proposed.is_empty() {
+        if !world.pending.is_empty() {
             actions.push(Action::Commit);
-        } else if may(4) {
-            actions.push(Action::ProposeLate);
+        } else if may_occur(4) {
+            actions.push(Action::ProposeDelayed);
         }
-        if may(0) {
+        if may_occur(0) {
             actions.push(Action::NewLeader);
         }
-        if may(2) {
-            actions.push(Action::Recall);
+        if may_occur(2) {
+            actions.push(Action::CancelAndRequest);
         }
-        // A wrong variant is looked for among the events that its fault is about, so that it is found soon.
-        let about = |action: &Action| match self.0 {
-            Variant::Right => true,
-            Variant::NoNumber => !matches!(
+        // For a wrong variant, only events related to its defect are explored, so that it is detected quickly.
+        let is_related = |action: &Action| match self.0 {
+            Variant::Correct => true,
+            Variant::EpochIgnored => !matches!(
                 action,
-                Action::Tick | Action::Send(_) | Action::Ask(_) | Action::NewLeader | Action::Restart(_)
+                Action::Tick | Action::Send(_) | Action::Request(_) | Action::NewLeader | Action::Restart(_)
             ),
-            _ => matches!(action, Action::Tick | Action::Trip(_) | Action::Propose | Action::Send(_)),
+            _ => matches!(action, Action::Tick | Action::Exchange(_) | Action::Propose | Action::Send(_)),
         };
-        actions.retain(about);
+        actions.retain(is_related);
     }
 
     fn next_state(&self, before: &World, action: Action) -> Option<World> {
         let mut world = before.clone();
         match action {
             Action::Tick => world.now += 1,
-            Action::Trip(place) => {
-                // What it sees it says at once.
+            Action::Exchange(index) => {
+                // The second request acknowledges what the first response contained.
                 for _ in 0..2 {
-                    let answer = self.ask(&mut world, place)?;
-                    self.deliver(&mut world, place, answer);
+                    let response = self.request_lease(&mut world, index)?;
+                    self.deliver(&mut world, index, response);
                 }
             }
-            Action::Ask(place) => {
-                world.troubles[3] += 1;
-                world.net[place] = Some(self.ask(&mut world, place)?);
+            Action::Request(index) => {
+                world.faults[3] += 1;
+                world.in_flight[index] = Some(self.request_lease(&mut world, index)?);
             }
-            Action::Deliver(place) => {
-                let answer = world.net[place].take()?;
-                self.deliver(&mut world, place, answer);
+            Action::Deliver(index) => {
+                let response = world.in_flight[index].take()?;
+                self.deliver(&mut world, index, response);
             }
             Action::Propose => {
                 for _ in 0..4 {
@@ -347,61 +369,71 @@
                     proposed.into_iter().for_each(|command| self.apply(&mut world, command));
                 }
             }
-            Action::ProposeLate => {
-                world.troubles[4] += 1;
-                world.proposed = self.propose(&mut world).into_iter().take(1).collect();
+            Action::ProposeDelayed => {
+                world.faults[4] += 1;
+                world.pending = self.propose(&mut world).into_iter().take(1).collect();
             }
             Action::Commit => {
-                for command in std::mem::take(&mut world.proposed) {
+                for command in std::mem::take(&mut world.pending) {
                     self.apply(&mut world, command);
                 }
             }
-            Action::Send(place) => {
-                world.sends += 1;
-                world.fronts[place].open_until = world.now + OPEN;
+            Action::Send(index) => {
+                world.sent_count += 1;
+                world.fronts[index].open_until = world.now + REQUEST_TICKS;
             }
             Action::NewLeader => {
-                // What was proposed may still be applied.
-                world.troubles[0] += 1;
-                world.conductor = MaintenanceCoordinator::new();
-                world.began = world.now;
+                // Commands proposed by the former leader may still be applied.
+                world.faults[0] += 1;
+                world.coordinator = MaintenanceCoordinator::new();
+                world.elected_tick = world.now;
             }
-            Action::Restart(place) => {
-                world.troubles[1] += 1;
-                let incarnation = world.fronts[place].incarnation + 1;
-                world.fronts[place] = Front { incarnation, viewer: viewer(), open_until: 0 };
-                world.agreed.on_join(holder(place, incarnation));
+            Action::Restart(index) => {
+                world.faults[1] += 1;
+                let incarnation = world.fronts[index].incarnation + 1;
+                world.fronts[index] = Front { incarnation, exclusions: new_exclusions(), open_until: 0 };
+                world.replicated.on_join(holder(index, incarnation));
             }
-            Action::Recall => {
-                world.troubles[2] += 1;
-                let job = world.agreed.progress().get(&machine()).map_or(JobId(0), |w| w.job);
-                world.agreed.apply(&MaintenanceCommand::Cancel { job, machine: None }).ok()?;
-                world.agreed.apply(&out()).ok()?;
+            Action::CancelAndRequest => {
+                world.faults[2] += 1;
+                let job =
+                    world.replicated.progress().get(&machine()).map_or(JobId(0), |progress| progress.job);
+                world.replicated.apply(&MaintenanceCommand::Cancel { job, machine: None }).ok()?;
+                world.replicated.apply(&request_command()).ok()?;
             }
         }
         (world != *before).then_some(world)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
-        fn alone(model: &Permits, world: &World) -> bool {
-            let out = world.agreed.progress().get(&machine()).is_some_and(|w| w.stage == Stage::Released);
-            let used = |f: &Front| f.open_until > world.now || !model.keeps_off(f, world.now);
-            !out || !world.fronts.iter().any(used)
+        fn is_unused_while_released(model: &PermitModel, world: &World) -> bool {
+            let is_released = world
+                .replicated
+                .progress()
+                .get(&machine())
+                .is_some_and(|progress| progress.stage == Stage::Released);
+            let may_use = |f: &Front| f.open_until > world.now || !model.excludes(f, world.now);
+            !is_released || !world.fronts.iter().any(may_use)
         }
         vec![
-            Property::<Self>::always("what is let go is left alone", alone),
-            Property::<Self>::sometimes("a machine is let go", |_, world| {
-                world.agreed.progress().get(&machine()).is_some_and(|w| w.stage == Stage::Released)
+            Property::<Self>::always("no front uses a released machine", is_unused_while_released),
+            Property::<Self>::sometimes("a machine is released", |_, world| {
+                world
+                    .replicated
+                    .progress()
+                    .get(&machine())
+                    .is_some_and(|progress| progress.stage == Stage::Released)
             }),
         ]
     }
 }
 
 #[test]
-fn what_is_let_go_is_left_alone_in_every_order() {
-    // `PERMIT_DEPTH=10` looks at 1.3 million states.
-    let depth = std::env::var("PERMIT_DEPTH").ok().and_then(|d| d.parse().ok()).unwrap_or(DEPTH);
-    let checker = Permits(Variant::Right).checker().threads(4).target_max_depth(depth).spawn_bfs().join();
+fn no_front_uses_a_released_machine_in_any_order_of_events() {
+    // `PERMIT_DEPTH=10` explores 1.3 million states.
+    let depth = std::env::var("PERMIT_DEPTH").ok().and_then(|d| d.parse().ok()).unwrap_or(DEFAULT_DEPTH);
+    let checker =
+        PermitModel(Variant::Correct).checker().threads(4).target_max_depth(depth).spawn_bfs().join();
     println!(
         "{} states, {} unique, depth {}",
         checker.state_count(),
@@ -412,16 +444,21 @@
     assert!(checker.unique_state_count() > 10_000);
 }
 
-/// Orders of so many events.
-const DEPTH: usize = 9;
+/// Default length of the explored event sequences.
+const DEFAULT_DEPTH: usize = 9;
 
 #[test]
-fn wrong_variants_are_found() {
-    for variant in [Variant::SomeWord, Variant::NoLease, Variant::NoNumber, Variant::NoNext] {
-        let checker = Permits(variant).checker().threads(4).target_max_depth(17).spawn_bfs().join();
-        let found = checker.discovery("what is let go is left alone");
+fn each_wrong_variant_is_detected() {
+    for variant in [
+        Variant::AnyFrontDrained,
+        Variant::LeaseIgnored,
+        Variant::EpochIgnored,
+        Variant::AcknowledgementIgnored,
+    ] {
+        let checker = PermitModel(variant).checker().threads(4).target_max_depth(17).spawn_bfs().join();
+        let discovery = checker.discovery("no front uses a released machine");
         println!("{variant:?}: {} states", checker.unique_state_count());
-        let found = found.unwrap_or_else(|| panic!("{variant:?} is not found"));
-        println!("{:?}", found.into_actions());
+        let path = discovery.unwrap_or_else(|| panic!("{variant:?} is not detected"));
+        println!("{:?}", path.into_actions());
     }
 }
--- a/front/src/engine/maintenance_client.rs
+++ b/front/src/engine/maintenance_client.rs
@@ -6,7 +6,7 @@
 use elmtide::{Availability, Listing, MemberId, Ms, Settings};
 use elmtide_budgets::Clocks;
 use elmtide_maintenance::report::{
-    LeasedMaintenanceView, MachineObservation, ObservedState, WorkOutcome, MAX_OBSERVATIONS,
+    AttemptOutcome, LeasedMaintenanceView, MachineObservation, ObservedState, MAX_OBSERVATIONS,
 };
 use elmtide_maintenance::{MachineId, MaintenanceExclusions, MaintenanceReport, Stage};
 
@@ -186,10 +186,10 @@
                     .map_or(0, |ms| ms.max(0.0) as u64),
                 warm_percent: (age.unwrap_or(1.0).clamp(0.0, 1.0) * 100.0) as u8,
                 load: (self.load.get(&machine).copied().unwrap_or(0.0) / (FADE / 1e6)) as u32,
-                work: match self.tried.get(&machine) {
-                    None => WorkOutcome::NoneSent,
-                    Some(false) if !parent => WorkOutcome::NoneSucceeded,
-                    Some(_) => WorkOutcome::Succeeded,
+                attempt_outcome: match self.tried.get(&machine) {
+                    None => AttemptOutcome::NoneSent,
+                    Some(false) if !parent => AttemptOutcome::NoneSucceeded,
+                    Some(_) => AttemptOutcome::Succeeded,
                 },
             };
             self.mine.insert(machine);
--- a/front/src/fleet/maintenance_command.rs
+++ b/front/src/fleet/maintenance_command.rs
@@ -112,7 +112,7 @@
     for (machine, wait) in &waits {
         println!("never: {}: {}", names.machine(*machine), names.wait_text(wait));
     }
-    let least = planning::least_rounds(state.budget(), state.machines(), &wanted);
+    let least = planning::min_rounds(state.budget(), state.machines(), &wanted);
     println!("{} rounds, {least} at the least by the bounds; load is looked at when they go", rounds.len());
     if let Some(took) = took {
         println!("about {:.0} s, at the {took:.0} s that the last ways took", took * rounds.len() as f64);
--- a/front/src/fleet/maintenance_view.rs
+++ b/front/src/fleet/maintenance_view.rs
@@ -79,7 +79,7 @@
             called_off: job.is_cancelled,
             machines: job.machine_count,
             done: job.completed,
-            spared: job.spared,
+            spared: job.cancelled_count,
             over: job.ended_at_ms.is_some(),
         });
         MaintenanceStatusView {
@@ -88,7 +88,7 @@
             age_ms: Some(age_ms),
             jobs: jobs.collect(),
             machines: machines.collect(),
-            missing: details.missing.iter().map(|m| names.machine(*m)).collect(),
+            missing: details.lost.iter().map(|m| names.machine(*m)).collect(),
             took_s: details.median_duration_ms.map(|ms| ms as f64 / 1000.0),
         }
     }
--- a/lab/src/work.rs
+++ b/lab/src/work.rs
@@ -7,8 +7,8 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use elmtide_budgets::{Epoch, FrontId, HolderId, Incarnation};
-use elmtide_maintenance::planning::{least_rounds, plan_rounds, Observations};
-use elmtide_maintenance::report::{MachineObservation, WorkOutcome};
+use elmtide_maintenance::planning::{min_rounds, plan_rounds, Observations};
+use elmtide_maintenance::report::{AttemptOutcome, MachineObservation};
 use elmtide_maintenance::CoordinatorInput;
 use elmtide_maintenance::{
     DisruptionBudget, MachineId, MachineSpec, MaintenanceCommand, MaintenanceCoordinator, MaintenanceReport,
@@ -363,7 +363,7 @@
             let sight = MachineObservation {
                 warm_percent: 100,
                 load: 1,
-                work: WorkOutcome::Succeeded,
+                attempt_outcome: AttemptOutcome::Succeeded,
                 ..MachineObservation::default()
             };
             let sights = ids.iter().skip(front as usize * 4).take(40).map(|m| (*m, sight)).collect();
@@ -382,15 +382,20 @@
             at_ms: 0,
         };
         state.apply(&job).map_err(refused)?;
-        let now =
-            CoordinatorInput { monotonic: 0, wall_ms: 0, lease: 1, own: FrontId(0), drained_at: &|_| 0 };
+        let now = CoordinatorInput {
+            monotonic: 0,
+            wall_ms: 0,
+            lease: 1,
+            own_front: FrontId(0),
+            requests_ended_at: &|_| 0,
+        };
         let began = Instant::now();
         let proposed = conductor.propose(&state, &now).commands.len();
         let plan = began.elapsed();
         let began = Instant::now();
         let rounds = plan_rounds(&state, &Observations::default(), &ids).rounds;
         let all = began.elapsed();
-        let least = least_rounds(state.budget(), state.machines(), &ids);
+        let least = min_rounds(state.budget(), state.machines(), &ids);
         println!("| {count} | {}, {least} | {plan:.1?} ({proposed} steps) | {all:.1?} |", rounds.len());
     }
     Ok(())
--- a/model/src/world/maintenance.rs
+++ b/model/src/world/maintenance.rs
@@ -2,7 +2,7 @@
 
 use elmtide_budgets::{Clocks, Micros};
 use elmtide_fleet::{AgreedCommand, FleetNode};
-use elmtide_maintenance::report::{MachineObservation, ObservedState, WorkOutcome};
+use elmtide_maintenance::report::{AttemptOutcome, MachineObservation, ObservedState};
 use elmtide_maintenance::{MachineId, MaintenanceCommand, MaintenanceReport, MaintenanceState, Stage};
 use rand::RngExt;
 
@@ -31,7 +31,7 @@
                     started_at_ms: born.unwrap_or(0),
                     warm_percent: 100,
                     load: 1,
-                    work: WorkOutcome::Succeeded,
+                    attempt_outcome: AttemptOutcome::Succeeded,
                 },
             )
         };
@@ -135,7 +135,7 @@
         let now = self.now;
         let Some(state) = self.agreed() else { return };
         let mut over = Vec::new();
-        if let Some((machine, bound)) = state.find_excess() {
+        if let Some((machine, bound)) = state.find_exceeded_limit() {
             over.push(format!("{now} us: {machine:?} is out over its bound: {bound:?}"));
         }
         for (machine, _) in state.progress().iter().filter(|(_, w)| w.stage == Stage::Released) {
