--- a/front/src/client/bus.rs
+++ b/front/src/client/bus.rs
@@ -12,7 +12,7 @@
 use elmtide::{Availability, CellId, Event, KindId, ListUpdate, Listing, ObjectId, PurgeGroup, ZoneId};
 
 use crate::client::start_times::StartTimes;
-use crate::exchange::{Input, ListSource, MemberNews, MembersNews};
+use crate::exchange::{Input, ListSource, MemberUpdate, MembersUpdate};
 use crate::memory::counters::Counters;
 use crate::memory::members::member_id;
 use crate::process::clock;
@@ -52,7 +52,7 @@
         u16::try_from(place).ok().map(KindId)
     }
 
-    fn listing(&self, server: &Server) -> Result<(Listing, MemberNews), String> {
+    fn listing(&self, server: &Server) -> Result<(Listing, MemberUpdate), String> {
         let zone = self.zone(&server.zone).ok_or_else(|| format!("zone {:?} is not known", server.zone))?;
         let kind = self.kind(&server.kind).ok_or_else(|| format!("kind {:?} is not known", server.kind))?;
         let availability = match server.state {
@@ -66,7 +66,7 @@
         let listing = Listing { member, weight, zone, kind, cell, started_at, availability };
         let gone = availability == Availability::Gone;
         let addr = server.addr.parse().ok();
-        Ok((listing, MemberNews { member, name: server.id.as_str().into(), addr, started_at, gone }))
+        Ok((listing, MemberUpdate { member, name: server.id.as_str().into(), addr, started_at, gone }))
     }
 
     /// What an event of the bus means to the engine.
@@ -91,8 +91,8 @@
                 }
                 let update = if *full { ListUpdate::Full } else { ListUpdate::Delta };
                 let event = Event::List { update, entries };
-                let news = MembersNews { full: *full, members };
-                Input::Listed { from: ListSource::Bus, news, event }
+                let members_update = MembersUpdate { full: *full, members };
+                Input::MembersListed { from: ListSource::Bus, members_update, event }
             }
         }
     }
@@ -125,7 +125,7 @@
         let fresh = events.split_off(&(self.last + 1));
         for (number, event) in fresh {
             let mut input = self.names.input(&event);
-            if let Input::Listed { event, .. } = &mut input {
+            if let Input::MembersListed { event, .. } = &mut input {
                 self.start_times.place(event, clock::on_steady_line);
             }
             if self.inputs.send(input).is_err() {
--- a/front/src/client/connection.rs
+++ b/front/src/client/connection.rs
@@ -12,7 +12,7 @@
 
 use crate::client::shortage::Shortage;
 use crate::client::streams::{Admitted, Look, Opening, Purpose, Streams, Turn};
-use crate::exchange::{AttemptKey, Copy, Input, Progress, Returned, Token};
+use crate::exchange::{AttemptEnd, AttemptKey, Input, Progress, ServedCopy, Token};
 use crate::memory::counters::Counters;
 use crate::process::backoff::Backoff;
 use crate::process::socket_error::{remedy, Call, Remedy};
@@ -183,9 +183,9 @@
         };
         self.shut();
         let returned = match cause {
-            EndCause::LocalShortage => |_| Returned::NotSent,
-            EndCause::Peer if by_us => Returned::Abandoned,
-            EndCause::Peer => Returned::Broke,
+            EndCause::LocalShortage => |_| AttemptEnd::NotSent,
+            EndCause::Peer if by_us => AttemptEnd::Abandoned,
+            EndCause::Peer => AttemptEnd::ConnectionFailed,
         };
         open.into_iter().for_each(|(purpose, progress)| end(purpose, progress, returned, inputs));
     }
@@ -251,7 +251,7 @@
                 Admitted::Closed => break,
                 Admitted::Skipped => continue,
                 Admitted::Overdue(purpose) => {
-                    end(purpose, Progress::NotConnected, Returned::Broke, inputs);
+                    end(purpose, Progress::NotConnected, AttemptEnd::ConnectionFailed, inputs);
                     continue;
                 }
                 Admitted::Yes(tally) => tally,
@@ -313,7 +313,7 @@
                     let outcome = if answer.word == Word::Pong { Outcome::Ok } else { Outcome::Error };
                     Input::Probed { member, outcome, latency: slot.since.elapsed().as_secs_f64() * 1000.0 }
                 }
-                Purpose::Attempt(key) => Input::Returned { key, returned: returned(&answer, bytes) },
+                Purpose::Attempt(key) => Input::AttemptEnded { key, end: returned(&answer, bytes) },
             };
             if inputs.send(input).is_err() {
                 return;
@@ -348,13 +348,13 @@
 }
 
 /// Tells the engine that the connection has failed this.
-fn end(purpose: Purpose, progress: Progress, returned: fn(Progress) -> Returned, inputs: &Sender<Input>) {
+fn end(purpose: Purpose, progress: Progress, returned: fn(Progress) -> AttemptEnd, inputs: &Sender<Input>) {
     let input = match purpose {
-        Purpose::Attempt(key) => Input::Returned { key, returned: returned(progress) },
+        Purpose::Attempt(key) => Input::AttemptEnded { key, end: returned(progress) },
         Purpose::Probe(member) => match returned(progress) {
             // Nothing was asked, so nothing is known.
-            Returned::NotSent => return,
-            _ => Input::Probed { member, outcome: progress.broken(), latency: 0.0 },
+            AttemptEnd::NotSent => return,
+            _ => Input::Probed { member, outcome: progress.outcome_if_broken(), latency: 0.0 },
         },
         Purpose::GivenUp | Purpose::Ping => return,
     };
@@ -362,7 +362,7 @@
 }
 
 /// What an answer means to the module.
-fn returned(answer: &Answer<'_>, bytes: Vec<u8>) -> Returned {
+fn returned(answer: &Answer<'_>, bytes: Vec<u8>) -> AttemptEnd {
     let note = match answer.field("remark") {
         Some("local") => Note::Hit,
         Some("pulled") => Note::Filled,
@@ -385,6 +385,6 @@
     };
     let digest = answer.field("digest").and_then(|d| Token::new(d.as_bytes()));
     let client_has_it = answer.word == Word::Valid;
-    let copy = (outcome == Outcome::Ok).then_some(Copy { bytes, digest, client_has_it });
-    Returned::Answered { outcome, note, copy }
+    let copy = (outcome == Outcome::Ok).then_some(ServedCopy { bytes, digest, client_has_it });
+    AttemptEnd::Answered { outcome, note, copy }
 }
--- a/front/src/client/pool.rs
+++ b/front/src/client/pool.rs
@@ -133,14 +133,14 @@
 }
 
 impl Upstream for Pool {
-    fn send(&mut self, order: &Order) -> Result<(), SendError> {
-        let passed = &order.passed;
+    fn send(&mut self, order: &AttemptOrder) -> Result<(), SendError> {
+        let forwarded = &order.forwarded;
         let source = order.source.and_then(|id| self.members.get(id)).map(|m| m.name.clone());
         let want = Want {
-            id: passed.job.as_str(),
-            profile: &passed.class_name,
-            thing: passed.item.as_str(),
-            nth: passed.part.as_str(),
+            id: forwarded.job.as_str(),
+            profile: &forwarded.class_name,
+            thing: forwarded.item.as_str(),
+            nth: forwarded.part.as_str(),
             max: order.timeout.max(1.0) as u64,
             parent: source.as_deref(),
             shelf: order.rank,
@@ -149,30 +149,30 @@
             have_only: order.mode.source_holds_only,
             through: order.mode.no_copy_at_parent,
             update: order.mode.renew,
-            got: passed.seen.as_ref().map(Token::as_str),
-            replay: passed.unique.as_ref().map(Token::as_str),
-            body: &passed.body,
+            got: forwarded.client_digest.as_ref().map(Token::as_str),
+            replay: forwarded.idempotency_key.as_ref().map(Token::as_str),
+            body: &forwarded.body,
         };
         let left = |by: Ms| Duration::from_secs_f64(((by - clock::steady_ms()) / 1000.0).clamp(0.0, 3600.0));
         let opening = Opening {
-            tag: &passed.job,
+            tag: &forwarded.job,
             purpose: Purpose::Attempt(order.key),
-            room: self.room(passed.once),
-            tally: Some(&passed.tally),
+            room: self.room(forwarded.once),
+            tally: Some(&forwarded.tally),
             write_by: order.write_by.map(|by| Instant::now() + left(by)),
             guarded: order.guarded,
             members: [Some(order.cache), order.source],
         };
         let connection = self.dispatch(order.cache, &opening, &want.encode())?;
-        self.out.insert(order.key, (connection, passed.job.clone()));
+        self.out.insert(order.key, (connection, forwarded.job.clone()));
         Ok(())
     }
 
-    fn ended(&mut self, key: AttemptKey) {
+    fn attempt_ended(&mut self, key: AttemptKey) {
         self.out.remove(&key);
     }
 
-    fn give_up(&mut self, key: AttemptKey) -> Option<Progress> {
+    fn abandon(&mut self, key: AttemptKey) -> Option<Progress> {
         let (connection, tag) = self.out.remove(&key)?;
         connection.give_up(&tag, key, never_mind(tag.as_str()))
     }
@@ -210,13 +210,13 @@
         self.dispatch(member, &opening, &there(tag.as_str())).map(drop)
     }
 
-    fn look(&mut self) {
+    fn check_connections(&mut self) {
         let Some(tag) = self.tag() else { return };
         let frame = self.limits.probes.then(|| there(tag.as_str()));
         self.connections.values().flatten().for_each(|c| c.look(&tag, frame.clone()));
     }
 
-    fn learn(&mut self, news: &MembersNews) {
+    fn update_members(&mut self, news: &MembersUpdate) {
         if news.full {
             self.members.ids().into_iter().for_each(|id| self.members.set_gone(id));
         }
@@ -233,7 +233,7 @@
         }
     }
 
-    fn sweep(&mut self) {
+    fn close_idle(&mut self) {
         let idle = self.limits.idle;
         self.connections.retain(|_, open| {
             open.retain(|c| !c.sweep(idle));
--- a/front/src/client/resolver.rs
+++ b/front/src/client/resolver.rs
@@ -184,8 +184,9 @@
             for at in gone {
                 eprintln!("resolver: {}/{at} is draining: no answer for its name holds it", upstream.name);
             }
-            let (news, event) = self.resolved.told();
-            let _ = self.inputs.send(Input::Listed { from: ListSource::Resolver, news, event });
+            let (members_update, event) = self.resolved.told();
+            let _ =
+                self.inputs.send(Input::MembersListed { from: ListSource::Resolver, members_update, event });
         }
         Ok(())
     }
--- a/front/src/client/streams.rs
+++ b/front/src/client/streams.rs
@@ -300,7 +300,7 @@
             self.slots.remove(tag);
             return Admitted::Overdue(purpose);
         }
-        slot.progress = Progress::Whole;
+        slot.progress = Progress::FullyWritten;
         Admitted::Yes(slot.tally.take())
     }
 
@@ -319,7 +319,7 @@
     /// The line of an answer has come: from here on it is cut if it is not whole.
     pub fn answer_begins(&mut self, tag: &Token) {
         if let Some(slot) = self.slots.get_mut(tag) {
-            slot.progress = Progress::PartOfAnswer;
+            slot.progress = Progress::PartlyAnswered;
         }
         (self.reading, self.stuck) = (Reading::Answer(tag.clone()), 0);
     }
@@ -367,7 +367,7 @@
             return Look::Leave;
         }
         self.quiet += 1;
-        let cut = self.slots.values().any(|s| s.progress == Progress::PartOfAnswer);
+        let cut = self.slots.values().any(|s| s.progress == Progress::PartlyAnswered);
         let useless = self.quiet >= if cut { STALLED } else { MUTE };
         if (cut || self.asked) && useless {
             return self.shut();
@@ -395,7 +395,7 @@
         self.turns += 1;
         let slot = Slot {
             purpose: Purpose::Ping,
-            progress: Progress::Whole,
+            progress: Progress::FullyWritten,
             since: now,
             turn: Turn(self.turns),
             tally: None,
--- a/front/src/client/streams/tests.rs
+++ b/front/src/client/streams/tests.rs
@@ -54,7 +54,7 @@
     assert!(is_written(&s.admit(&job, Some(turn), now)));
     assert!(!s.withdraw(&job, key(0)), "written first");
     assert!(s.may_have_run(&job, key(0)));
-    assert_eq!(s.give_up(&job, key(0), now), Some(Progress::Whole));
+    assert_eq!(s.give_up(&job, key(0), now), Some(Progress::FullyWritten));
 }
 
 /// The bytes of an attempt that was taken back still lie in the writer's queue when the next one of the same request
@@ -141,7 +141,7 @@
     let mut looks: Vec<Look> = (1..=u64::from(STALLED)).map(|reads| s.look(reads, false)).collect();
     assert_eq!(looks.pop(), Some(Look::Shut));
     assert!(looks.iter().all(|look| *look == Look::Leave), "{looks:?}");
-    assert_eq!(s.close().collect::<Vec<_>>(), [(Purpose::Attempt(key(0)), Progress::Whole)]);
+    assert_eq!(s.close().collect::<Vec<_>>(), [(Purpose::Attempt(key(0)), Progress::FullyWritten)]);
 
     // Lines that do end, however many, are no such thing.
     let (mut s, _) = streams();
@@ -164,7 +164,7 @@
         assert_eq!(s.look(reads, true), Look::Leave);
     }
     assert!(s.accepts(&opening(&next, 1)), "it is waited for");
-    assert_eq!(s.give_up(&job, key(0), now), Some(Progress::PartOfAnswer));
+    assert_eq!(s.give_up(&job, key(0), now), Some(Progress::PartlyAnswered));
     for reads in 50..50 + u64::from(MUTE) {
         assert!(s.accepts(&opening(&next, 1)), "it may end soon");
         s.look(reads, true);
@@ -209,7 +209,7 @@
         .collect();
     ends.sort_by_key(|end| end.0);
     use Progress::*;
-    assert_eq!(ends, [(0, NotConnected), (1, PartlyWritten), (2, Whole), (3, PartOfAnswer)]);
+    assert_eq!(ends, [(0, NotConnected), (1, PartlyWritten), (2, FullyWritten), (3, PartlyAnswered)]);
     assert!(matches!(s.admit(&tags[0], Some(turns[0]), now), Admitted::Closed));
 }
 
@@ -250,7 +250,7 @@
     assert!(s.accepts(&opening(&b, 0)) && !s.accepts(&guarded(&b)));
     s.answer_begins(&a);
     assert!(s.accepts(&opening(&b, 0)) && !s.accepts(&guarded(&b)));
-    assert_eq!(s.give_up(&a, key(0), now), Some(Progress::PartOfAnswer));
+    assert_eq!(s.give_up(&a, key(0), now), Some(Progress::PartlyAnswered));
     assert!(!s.accepts(&guarded(&b)), "nor once nobody waits for it");
 }
 
--- a/front/src/engine/admission.rs
+++ b/front/src/engine/admission.rs
@@ -1,4 +1,4 @@
-//! Requests from their arrival to their one final answer: admission, rejection, and the release of what they held.
+//! Requests from arrival to their final answer: admission, rejection, and release of the resources they hold.
 
 use std::sync::atomic::Ordering::Relaxed;
 
@@ -10,22 +10,23 @@
 use crate::exchange::{Answer, AttemptKey, Incoming, Upstream};
 use crate::process::part;
 
-/// By this part of its time a request has been written whole to some node, or it is refused: told early that nothing
-/// has run, a client can still do something about it.
+/// A request that has not been fully written to a node by this fraction of its time is rejected: the client learns
+/// early that nothing has run, and still has time to act on it.
 const UNSENT_DEADLINE_FRACTION: f64 = 0.45;
-/// Least part of the longest wait that is told to those refused here, as the module does.
+/// Smallest fraction of the longest retry-after time that is sent with the engine's own rejections; the decision module
+/// uses the same fraction.
 const MIN_RETRY_AFTER_FRACTION: f64 = 0.6;
-/// After this long past a deadline the engine answers by itself, whatever the module does.
+/// This long after a deadline the engine fails the request itself, whatever the decision module does.
 const DEADLINE_BACKSTOP_MS: Ms = 15.0;
 
-/// Why a request is rejected as soon as it has come.
+/// Why a request is rejected on arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Rejection {
-    /// The front drains: paused, ending, or its machine goes out.
+    /// The front drains: it is paused, it is stopping, or its machine goes into maintenance.
     Draining,
-    /// As many requests are open as may be.
+    /// The maximum number of requests is open.
     TooManyOpen,
-    /// Its shop's part of the fleet's budget is spent.
+    /// The shop's quota of the fleet's budget is exhausted.
     ShopBudget,
 }
 
@@ -41,6 +42,7 @@
 }
 
 impl<U: Upstream> Engine<U> {
+    /// Admits or rejects a new request, and gives it to a router or a cell's queue.
     pub(super) fn admit(&mut self, incoming: Incoming) {
         self.counters.taken.fetch_add(1, Relaxed);
         let Some(incoming) = self.admit_in_drain(incoming) else { return };
@@ -56,15 +58,15 @@
             group: incoming.group,
             time_left,
             size_kb: incoming.size_kb,
-            write: false, // the class tells
+            write: false, // the class says whether it is a write
         };
-        let (deadline, shop, once) = (incoming.deadline, incoming.shop, incoming.passed.once);
+        let (deadline, shop, once) = (incoming.deadline, incoming.shop, incoming.forwarded.once);
         let priority = priority_if(once);
         if self.budgets.as_mut().is_some_and(|b| !b.admit_shop_request(request.id, shop, priority)) {
             return self.reject_on_arrival(incoming, Rejection::ShopBudget);
         }
-        let pace = self.settings.transfer_kb_per_s;
-        let work = incoming.size_kb.zip(pace).map(|(kb, pace)| kb / pace * 1000.0);
+        let transfer_rate = self.settings.transfer_kb_per_s;
+        let work = incoming.size_kb.zip(transfer_rate).map(|(kb, transfer_rate)| kb / transfer_rate * 1000.0);
         if let Err(incoming) = self.exchanges.open(incoming) {
             self.counters.failed.fetch_add(1, Relaxed);
             if let Some(budgets) = &mut self.budgets {
@@ -79,11 +81,11 @@
         self.timers.schedule(self.now + time_left * UNSENT_DEADLINE_FRACTION, Timer::Unsent(request.id.0));
         let (now, id) = (self.now, request.id);
         let Some(cells) = &mut self.cells else {
-            let current = self.current;
+            let current_router = self.current_router;
             if let Some(exchange) = self.exchanges.get_mut(id) {
-                exchange.router = current;
+                exchange.router = current_router;
             }
-            return self.dispatch(current, Event::Request(request));
+            return self.dispatch(current_router, Event::Request(request));
         };
         let object = request.object.0;
         let decision = cells.cells.admit(Arrival { id: id.0, shop, object, once, cost: 1.0, deadline }, now);
@@ -96,7 +98,7 @@
         self.apply_cell_decisions();
     }
 
-    /// Carries out what the cells have decided of requests that waited.
+    /// Carries out the cells' decisions on requests that waited in their queues.
     pub(super) fn apply_cell_decisions(&mut self) {
         while let Some(decision) = self.cells.as_mut().and_then(|c| c.cells.poll()) {
             match decision {
@@ -109,7 +111,7 @@
         }
     }
 
-    /// A request that waited goes to its cell's router, with the time that it has left.
+    /// Gives a request that waited to its cell's router, with its remaining time.
     pub(super) fn start_in_cell(&mut self, id: RequestId, cell: CellIx) {
         let Some(cells) = &mut self.cells else { return };
         let Some((mut request, shop)) = cells.waiting.remove(&id) else { return };
@@ -120,6 +122,7 @@
         self.dispatch(router, Event::Request(request));
     }
 
+    /// Advances the cells' queues and moves, and logs every change of a move.
     pub(super) fn advance_cells(&mut self) {
         let now = self.now;
         let Some(cells) = &mut self.cells else { return };
@@ -132,14 +135,14 @@
         self.apply_cell_decisions();
     }
 
-    /// Rejects a request of which nothing is held yet, at once.
+    /// Rejects a request at once, before any resource is held for it.
     pub(super) fn reject_on_arrival(&self, incoming: Incoming, why: Rejection) {
-        let Incoming { id, passed, responder, .. } = incoming;
+        let Incoming { id, forwarded, responder, .. } = incoming;
         let wait_ms = self.retry_after(id);
         tracing::debug!(
             request = id.0,
-            job = passed.job.as_str(),
-            class = &*passed.class_name,
+            job = forwarded.job.as_str(),
+            class = &*forwarded.class_name,
             why = why.name(),
             wait_ms,
             "request: rejected on arrival"
@@ -148,19 +151,21 @@
         responder.answer(Answer::Refused { wait_ms });
     }
 
-    /// When to come back, told to one whom the engine refuses by itself.
+    /// The retry-after time of the engine's own rejections, spread over clients so that they don't return together.
     pub(super) fn retry_after(&self, id: RequestId) -> Option<u64> {
-        let spread =
+        let fraction =
             MIN_RETRY_AFTER_FRACTION + (1.0 - MIN_RETRY_AFTER_FRACTION) * part(self.seed, u64::from(id.0));
-        self.wait_ms.map(|ms| (ms as f64 * spread) as u64)
+        self.max_retry_after_ms.map(|ms| (ms as f64 * fraction) as u64)
     }
 
+    /// Answers an open request with a rejection and counts it.
     pub(super) fn reject(&mut self, id: RequestId, wait_ms: Option<u64>) {
         if self.exchanges.answer(id, Answer::Refused { wait_ms }) {
             self.counters.refused.fetch_add(1, Relaxed);
         }
     }
 
+    /// Rejects a request that its cell refused, and counts the reason.
     pub(super) fn reject_by_cell(&mut self, id: RequestId, reason: RefusalReason, retry_after: Ms) {
         if let Some(cells) = &mut self.cells {
             cells.waiting.remove(&id);
@@ -169,14 +174,17 @@
         self.reject(id, Some(retry_after.max(1.0) as u64));
     }
 
-    /// A request has had its final answer: nothing more of it is sent on, and its place in the cell is free.
+    /// Releases what an answered request holds: unwritten attempts are withdrawn, its budget and its place in the cell
+    /// are freed.
     pub(super) fn release_admission(&mut self, id: RequestId, ended: Completion) {
         let now = self.now;
-        // Also where the settings allow no calling off: this is none, since the node never hears of it.
+        // Done even where the settings forbid cancelling: a withdrawn attempt never reaches the node, so nothing is
+        // cancelled there.
         let upstream = &mut self.upstream;
-        let out = self.exchanges.get(id).into_iter().flat_map(|e| e.out());
-        let back = out.map(|attempt| AttemptKey { id, attempt }).filter(|key| upstream.withdraw(*key));
-        self.ended.extend(back.map(|key| (key, Outcome::Cancelled)));
+        let in_flight = self.exchanges.get(id).into_iter().flat_map(|e| e.out());
+        let withdrawn =
+            in_flight.map(|attempt| AttemptKey { id, attempt }).filter(|key| upstream.withdraw(*key));
+        self.ended_attempts.extend(withdrawn.map(|key| (key, Outcome::Cancelled)));
         if let Some(budgets) = &mut self.budgets {
             budgets.end_request(id);
         }
@@ -187,7 +195,7 @@
         }
     }
 
-    /// The client has left before its answer.
+    /// Handles a client that left before its answer.
     pub(super) fn abandon_request(&mut self, id: RequestId) {
         let Some(exchange) = self.exchanges.get_mut(id) else { return };
         if exchange.abandon() {
@@ -198,27 +206,29 @@
         self.exchanges.settle(id);
     }
 
+    /// Tells the request's router that the request needs no more attempts.
     pub(super) fn notify_expired(&mut self, id: RequestId) {
         self.dispatch(self.exchanges.router(id), Event::Expired { id });
     }
 
-    /// Refuses a request of which nothing has been written to a node; one of which something has goes on.
+    /// Rejects a request none of whose attempts has been fully written to a node; any other request continues.
     pub(super) fn reject_if_unsent(&mut self, id: RequestId) {
         let Some(exchange) = self.exchanges.get_mut(id) else { return };
         let upstream = &mut self.upstream;
-        let out: Vec<AttemptKey> = exchange.out().map(|attempt| AttemptKey { id, attempt }).collect();
+        let in_flight: Vec<AttemptKey> = exchange.out().map(|attempt| AttemptKey { id, attempt }).collect();
         if exchange.is_answered()
             || exchange.may_have_run
-            || out.iter().any(|key| upstream.may_have_run(*key))
+            || in_flight.iter().any(|key| upstream.may_have_run(*key))
         {
             return;
         }
-        // First it is taken back, then the client is told that nothing has run: the other way round it could be
-        // written in between, and run again when the client tries again.
-        let all = out.len();
-        let back: Vec<AttemptKey> = out.into_iter().filter(|key| upstream.withdraw(*key)).collect();
-        let unsent = back.len() == all;
-        self.ended.extend(back.into_iter().map(|key| (key, Outcome::Cancelled)));
+        // Withdraw first, then tell the client that nothing has run. In the other order an attempt could be written in
+        // between, and the request would run twice when the client retries.
+        let total = in_flight.len();
+        let withdrawn: Vec<AttemptKey> =
+            in_flight.into_iter().filter(|key| upstream.withdraw(*key)).collect();
+        let unsent = withdrawn.len() == total;
+        self.ended_attempts.extend(withdrawn.into_iter().map(|key| (key, Outcome::Cancelled)));
         if !unsent {
             return;
         }
@@ -230,6 +240,7 @@
         self.exchanges.settle(id);
     }
 
+    /// Fails a request that is still unanswered after its deadline.
     pub(super) fn fail_past_deadline(&mut self, id: RequestId) {
         if self.exchanges.answer(id, Answer::Failed) {
             eprintln!("request {} was still open past its deadline: failed", id.0);
--- a/front/src/engine/attempts.rs
+++ b/front/src/engine/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts from the router's decision to their outcome: sending, filling, giving up, and the retry budget they draw on.
+//! Attempts from the router's decision to their outcome: sending, filling, abandoning, and the retry budget.
 
 use std::sync::atomic::Ordering::Relaxed;
 
@@ -8,23 +8,24 @@
 use super::budget_client::RETRIES;
 use super::timers::Timer;
 use super::{priority_if, Engine};
-use crate::exchange::{Answer, AttemptKey, Copy, Order, Progress, SendError, Upstream};
+use crate::exchange::{Answer, AttemptKey, AttemptOrder, Progress, SendError, ServedCopy, Upstream};
 use crate::memory::exchanges::Exchanges;
 
-/// A repeat is on its way so long before what an earlier attempt did may be forgotten: it has to get there.
+/// A retry must be written this long before the idempotency key of the earlier attempt may expire at the node: it needs
+/// time to arrive.
 const IDEMPOTENCY_KEY_MARGIN_MS: Ms = 5.0;
 
 impl<U: Upstream> Engine<U> {
-    /// What concerns each router.
+    /// Gives an event to every router.
     pub(super) fn dispatch_to_all(&mut self, event: &Event) {
         for router in 0..self.routers.len() {
             self.dispatch(router, event.clone());
         }
     }
 
-    /// Gives a router an event and does what it says.
+    /// Gives a router an event and carries out its actions.
     pub(super) fn dispatch(&mut self, router: usize, event: Event) {
-        if self.maintenance.as_ref().is_some_and(|w| w.turned()) {
+        if self.maintenance.as_ref().is_some_and(|maintenance| maintenance.lease_has_changed()) {
             self.exclude_servers_under_maintenance();
         }
         let mut actions = std::mem::take(&mut self.actions);
@@ -43,45 +44,49 @@
         self.actions = actions;
     }
 
-    /// A router whose further attempts come from a budget of all fronts: it is lent what may be spent at this very moment,
-    /// and what it used is spent by the same clocks, before anything is sent.
+    /// Handles an event with retries drawn from the budget shared by all fronts. The router is lent what may be spent
+    /// now, and what it used is spent at the same clock reading, before anything is sent.
     pub(super) fn handle_with_retry_budget(
         &mut self,
         router: usize,
         event: Event,
         actions: &mut Vec<Action>,
     ) {
-        // Nothing else starts an attempt.
-        let may_try = matches!(event, Event::Request(_) | Event::Reply { .. } | Event::Timer { .. });
-        let Some(budgets) = self.budgets.as_mut().filter(|b| may_try && b.has_budget(RETRIES)) else {
+        // No other event starts an attempt.
+        let may_start_attempts =
+            matches!(event, Event::Request(_) | Event::Reply { .. } | Event::Timer { .. });
+        let Some(budgets) = self.budgets.as_mut().filter(|b| may_start_attempts && b.has_budget(RETRIES))
+        else {
             return self.routers[router].handle(self.now, event, actions);
         };
-        let lent = budgets.available(RETRIES).floor();
-        self.routers[router].lend_retries(lent);
+        let lent_retries = budgets.available(RETRIES).floor();
+        self.routers[router].lend_retries(lent_retries);
         self.routers[router].handle(self.now, event, actions);
-        let used = lent - self.routers[router].lend_retries(0.0);
-        if used <= 0.0 && lent >= 1.0 {
+        let used = lent_retries - self.routers[router].lend_retries(0.0);
+        if used <= 0.0 && lent_retries >= 1.0 {
             return;
         }
-        let once = |id: &RequestId, exchanges: &Exchanges| exchanges.get(*id).is_some_and(|e| e.passed.once);
-        let high = |exchanges: &Exchanges| {
-            actions.iter().any(|a| matches!(a, Action::Serve { id, .. } if once(id, exchanges)))
+        let must_run_once =
+            |id: &RequestId, exchanges: &Exchanges| exchanges.get(*id).is_some_and(|e| e.forwarded.once);
+        let find_high_priority = |exchanges: &Exchanges| {
+            actions.iter().any(|a| matches!(a, Action::Serve { id, .. } if must_run_once(id, exchanges)))
         };
-        let high = high(&self.exchanges);
+        let is_high_priority = find_high_priority(&self.exchanges);
         for _ in 0..used as u64 {
-            budgets.try_spend(RETRIES, priority_if(high));
+            budgets.try_spend(RETRIES, priority_if(is_high_priority));
         }
-        // What was given up after an attempt, while there was nothing to spend, wanted one more.
+        // A request that ended after an attempt while the budget was empty would have used one more retry.
         for action in actions.iter() {
             let (Action::Refuse { id, .. } | Action::Fail { id }) = action else { continue };
             let tried = self.exchanges.get(*id).is_some_and(|e| e.has_been_sent());
-            if lent < 1.0 && tried {
-                let priority = priority_if(once(id, &self.exchanges));
+            if lent_retries < 1.0 && tried {
+                let priority = priority_if(must_run_once(id, &self.exchanges));
                 budgets.note_unmet_demand(RETRIES, priority);
             }
         }
     }
 
+    /// Carries out one action of a router.
     pub(super) fn carry_out(&mut self, router: usize, action: Action) {
         match action {
             Action::Serve { .. } => self.begin_attempt(router, action),
@@ -107,24 +112,24 @@
             }
             Action::Probe { member } => {
                 if self.upstream.probe(member) == Err(SendError::NoAddress) {
-                    self.unreached.push_back(member);
+                    self.unreachable_probes.push_back(member);
                 }
             }
-            // The event bus is followed from the start.
+            // The event bus is subscribed to from the start.
             Action::Subscribe => {}
         }
     }
 
-    /// Whether a request of this router may have a miss filled from what is common. What never is kept has to be run
-    /// there, and is not held back by it.
+    /// Whether a request of this router may fill a miss from the shared parents or origin. A write is never cached: it
+    /// must run at its source and is not limited here.
     pub(super) fn may_fill_in_cell(&mut self, router: usize, write: bool) -> bool {
         let now = self.now;
         let Some(cells) = self.cells.as_mut().filter(|_| !write) else { return true };
         cells.cell(router).is_none_or(|cell| cells.cells.may_fill(cell, now))
     }
 
-    /// The source, if what belongs to all fronts allows a fill from it. What never is kept is no fill: it has to be run
-    /// there.
+    /// The source, if the budgets shared by all fronts allow a fill from it. A write is no fill, since it is never
+    /// cached and must run at its source.
     pub(super) fn reserve_fill(
         &mut self,
         key: AttemptKey,
@@ -135,13 +140,13 @@
         let Some(budgets) = &mut self.budgets else { return source };
         let work = self.exchanges.get(key.id).and_then(|e| e.work);
         budgets.note_work_sent(source.is_some_and(|s| s != cache), work, priority_if(write));
-        let from = source.filter(|_| !write);
-        let Some(kind) = from.map(|from| self.endpoints.kind(from)) else { return source };
+        let fill_source = source.filter(|_| !write);
+        let Some(kind) = fill_source.map(|source| self.endpoints.kind(source)) else { return source };
         let from_origin = kind.is_some() && kind == self.settings.origin_kind;
         source.filter(|_| budgets.try_reserve_fill(key, from_origin, priority_if(write)))
     }
 
-    /// Sends an attempt as the router has decided it.
+    /// Sends the attempt that the router has decided on.
     fn begin_attempt(&mut self, router: usize, action: Action) {
         let Action::Serve { id, cache, source, rank, max_age, mode, timeout } = action else { return };
         let now = self.now;
@@ -155,35 +160,36 @@
         let write_by = key_expires.map(|at| at - IDEMPOTENCY_KEY_MARGIN_MS);
         let attempt = exchange.begin_attempt(now, cache);
         let key = AttemptKey { id, attempt };
-        let passed = exchange.passed.clone();
+        let forwarded = exchange.forwarded.clone();
         let timeout = timeout.min(exchange.deadline - now);
         if timeout <= 0.0 {
-            self.ended.push_back((key, Outcome::Moot));
+            self.ended_attempts.push_back((key, Outcome::Moot));
             return;
         }
         self.timers.schedule(now + timeout, Timer::Attempt(id.0, attempt.0));
         self.counters.sent.fetch_add(1, Relaxed);
-        let may_fill = self.may_fill_in_cell(router, passed.write);
+        let may_fill = self.may_fill_in_cell(router, forwarded.write);
         let source = Some(source).filter(|source| *source != cache && may_fill);
-        let source = self.reserve_fill(key, cache, source, passed.write);
+        let source = self.reserve_fill(key, cache, source, forwarded.write);
         self.note_servers_in_use(key, cache, source);
         tracing::debug!(
             request = id.0,
             attempt = attempt.0,
-            job = passed.job.as_str(),
+            job = forwarded.job.as_str(),
             server = cache.0,
             source = source.map(|source| source.0),
             timeout_ms = timeout,
             "attempt: begun"
         );
-        let order = Order { key, passed, cache, source, rank, max_age, mode, timeout, write_by, guarded };
+        let order =
+            AttemptOrder { key, forwarded, cache, source, rank, max_age, mode, timeout, write_by, guarded };
         if let Err(error) = self.upstream.send(&order) {
             tracing::debug!(request = id.0, attempt = attempt.0, %error, "attempt: not sent");
-            self.ended.push_back((key, error.outcome()));
+            self.ended_attempts.push_back((key, error.outcome()));
         }
     }
 
-    /// Maintenance has to know which servers an attempt uses.
+    /// Records which servers an attempt uses, for maintenance.
     fn note_servers_in_use(&mut self, key: AttemptKey, cache: MemberId, source: Option<MemberId>) {
         let Some(maintenance) = &mut self.maintenance else { return };
         let exchange = self.exchanges.get_mut(key.id);
@@ -192,21 +198,21 @@
             exchange.fills_from(key.attempt, source);
         }
         let servers: Vec<MemberId> = [Some(cache), source].into_iter().flatten().collect();
-        maintenance.sent(&servers, work);
+        maintenance.note_work_sent(&servers, work);
     }
 
-    /// How an attempt ends whose connection this side has closed. Where a second copy is forbidden, one that may have run may
-    /// run still.
+    /// The outcome of an attempt whose connection this side has closed. Where second copies are forbidden, an attempt
+    /// that may have run counts as still running.
     pub(super) fn outcome_of_abandoned(&self, progress: Progress) -> Outcome {
         if self.settings.second_copies {
-            progress.broken()
+            progress.outcome_if_broken()
         } else {
-            progress.timed_out()
+            progress.outcome_if_timed_out()
         }
     }
 
-    /// How an attempt ends that is called off. Where a second copy is forbidden, one of which nothing was written is told
-    /// apart: it may be followed by another.
+    /// The outcome of a cancelled attempt. Where second copies are forbidden, an attempt that was not fully written is
+    /// reported differently, since another may follow it.
     fn outcomes_of_cancelled(&self) -> fn(Progress) -> Outcome {
         if self.settings.second_copies {
             return |_| Outcome::Cancelled;
@@ -214,32 +220,33 @@
         |progress| if progress.may_have_run() { Outcome::Cancelled } else { Outcome::Moot }
     }
 
+    /// Abandons an attempt that is in flight; its outcome depends on how far it had come.
     pub(super) fn abandon_attempt(&mut self, key: AttemptKey, outcome: impl FnOnce(Progress) -> Outcome) {
-        let out = self.exchanges.get_mut(key.id).is_some_and(|e| e.is_out(key.attempt));
-        if let Some(progress) = out.then(|| self.upstream.give_up(key)).flatten() {
-            self.ended.push_back((key, outcome(progress)));
+        let is_in_flight = self.exchanges.get_mut(key.id).is_some_and(|e| e.is_out(key.attempt));
+        if let Some(progress) = is_in_flight.then(|| self.upstream.abandon(key)).flatten() {
+            self.ended_attempts.push_back((key, outcome(progress)));
         }
     }
 
-    /// An attempt has ended, whoever found it out.
+    /// Processes the end of an attempt, whether a connection or the engine detected it.
     pub(super) fn finish_attempt(
         &mut self,
         key: AttemptKey,
         outcome: Outcome,
         note: Note,
-        copy: Option<Copy>,
+        copy: Option<ServedCopy>,
     ) {
         let Some(exchange) = self.exchanges.get_mut(key.id) else { return };
         let Some((sent, to)) = exchange.end_attempt(key.attempt) else { return };
         let mut served = false;
         exchange.may_have_run |= !matches!(outcome, Outcome::ConnectFailed | Outcome::Moot);
-        let never = [Outcome::ConnectFailed, Outcome::Moot, Outcome::Full, Outcome::Miss];
-        if !never.contains(&outcome) {
+        let not_run_outcomes = [Outcome::ConnectFailed, Outcome::Moot, Outcome::Full, Outcome::Miss];
+        if !not_run_outcomes.contains(&outcome) {
             exchange.ran(sent);
         }
-        self.upstream.ended(key);
+        self.upstream.attempt_ended(key);
         if outcome == Outcome::Ok {
-            let copy = copy.unwrap_or(Copy { bytes: Vec::new(), digest: None, client_has_it: false });
+            let copy = copy.unwrap_or(ServedCopy { bytes: Vec::new(), digest: None, client_has_it: false });
             if exchange.answer(Answer::Served(copy)) {
                 self.counters.served.fetch_add(1, Relaxed);
                 served = true;
@@ -251,17 +258,17 @@
         self.counters.outcome(outcome);
         self.failing.heard(to, outcome);
         if let Some(maintenance) = self.maintenance.as_mut().filter(|_| outcome == Outcome::Ok) {
-            maintenance.served(to);
+            maintenance.note_success(to);
         }
         let settled = exchange.is_answered();
         let latency = self.now - sent;
         self.note_cell_fill(router, note);
         if let Some(budgets) = &mut self.budgets {
-            // Where nothing is told, a served or unknown end is taken for a fill.
-            let unsent =
+            // Without a note, a served attempt or one with an unknown outcome counts as a fill.
+            let not_filled =
                 matches!(outcome, Outcome::ConnectFailed | Outcome::Moot | Outcome::Miss | Outcome::Full);
-            let held = matches!(note, Note::Hit | Note::Stale | Note::Joined);
-            budgets.resolve_fill(key, !(unsent || held), !matches!(note, Note::Filled));
+            let was_cached = matches!(note, Note::Hit | Note::Stale | Note::Joined);
+            budgets.resolve_fill(key, !(not_filled || was_cached), !matches!(note, Note::Filled));
         }
         self.dispatch(router, Event::Reply { id, attempt, outcome, latency, settled, note });
         if served {
@@ -270,7 +277,7 @@
         self.exchanges.settle(id);
     }
 
-    /// A miss was filled from what is common.
+    /// Records that a miss was filled from the shared parents or origin.
     pub(super) fn note_cell_fill(&mut self, router: usize, note: Note) {
         let now = self.now;
         let Some(cells) = self.cells.as_mut().filter(|_| matches!(note, Note::Filled | Note::FilledByOrigin))
@@ -282,11 +289,12 @@
         }
     }
 
+    /// Processes the attempts and probes that the engine ended itself.
     pub(super) fn finish_ended_attempts(&mut self) {
-        while let Some(member) = self.unreached.pop_front() {
+        while let Some(member) = self.unreachable_probes.pop_front() {
             self.dispatch_to_all(&Event::Probed { member, outcome: Outcome::ConnectFailed, latency: 0.0 });
         }
-        while let Some((key, outcome)) = self.ended.pop_front() {
+        while let Some((key, outcome)) = self.ended_attempts.pop_front() {
             self.finish_attempt(key, outcome, Note::Absent, None);
         }
     }
--- a/front/src/engine/budget_client.rs
+++ b/front/src/engine/budget_client.rs
@@ -1,5 +1,5 @@
-//! The engine's side of budgets that belong to all fronts: it spends by its local quota ledger, at the moment of its decisions,
-//! and asks nobody.
+//! The engine's side of the budgets shared by all fronts. It spends from its local quota ledger at the moment of each
+//! decision, without asking any other process.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -20,33 +20,35 @@
 pub const RETRIES: BudgetId = BudgetId { kind: BudgetKind::Retries, resource: 0 };
 const ORIGIN: BudgetId = BudgetId { kind: BudgetKind::OriginFetches, resource: 0 };
 
-/// Time constant of what counts as denied lately, in microseconds.
+/// Time constant of the decay of recent denials, in microseconds.
 const DENIAL_DECAY: f64 = 2_000_000.0;
-/// Fewer recent denials than this are no shortage.
+/// With fewer recent denials than this there is no shortage.
 const MIN_DENIALS: f64 = 2.0;
 /// Fraction of recent requests for units that may be denied without a shortage.
 const TOLERATED_DENIALS: f64 = 0.1;
-/// Fraction of what a server in slow start bears that the decision module uses.
+/// Fraction of the capacity of a server in slow start that the decision module uses.
 const USED_CAPACITY: f64 = 0.6;
+/// Smallest fraction of its capacity that a server in slow start has.
 const MIN_SLOW_START_FRACTION: f64 = 0.01;
-/// Work of a request whose size is not known, in milliseconds at full pace.
+/// Work of a request of unknown size, in milliseconds at the full transfer rate.
 const DEFAULT_WORK_MS: Ms = 50.0;
-/// A quota below this counts as a division among all fronts that there could ever be.
+/// Smallest quota fraction used to compute a number of fronts; a smaller quota counts as divided among the most fronts
+/// possible.
 const MIN_FRACTION: f64 = 1e-12;
 
 /// A cache node or parent in slow start.
 #[derive(Clone, Copy, Debug)]
 struct SlowStartServer {
     budget: BudgetId,
-    /// Fraction of its kind's work that is meant for it by now.
+    /// Fraction of its kind's work that it is currently meant to get.
     work_fraction: f64,
 }
 
-/// Slow start as the settings have it for one kind of servers.
+/// The settings' slow start for one kind of server.
 struct SlowStartRule {
     kind: BudgetKind,
-    span: Option<Ms>,
-    fall_multiple: Option<f64>,
+    duration: Option<Ms>,
+    overload_factor: Option<f64>,
     initial_fraction: Option<f64>,
 }
 
@@ -54,8 +56,8 @@
     fn of_caches(settings: &Settings) -> SlowStartRule {
         SlowStartRule {
             kind: BudgetKind::SlowStartCache,
-            span: settings.cold_duration,
-            fall_multiple: settings.overload_factor,
+            duration: settings.cold_duration,
+            overload_factor: settings.overload_factor,
             initial_fraction: settings.cold_fraction,
         }
     }
@@ -63,35 +65,37 @@
     fn of_parents(settings: &Settings) -> SlowStartRule {
         SlowStartRule {
             kind: BudgetKind::SlowStartParent,
-            span: settings.parent_cold_duration,
-            fall_multiple: settings.parent_overload_factor,
+            duration: settings.parent_cold_duration,
+            overload_factor: settings.parent_overload_factor,
             initial_fraction: settings.parent_cold_fraction,
         }
     }
 
-    /// How far a server has come, from 0 to 1; `None` where that is not known.
+    /// A server's progress in slow start, from 0 to 1; `None` if unknown.
     fn progress(&self, listing: &Listing, unix_ms: Ms) -> Option<f64> {
-        let (started_at, span) = listing.started_at.zip(self.span)?;
-        Some(((unix_ms - started_at) / span).clamp(0.0, 1.0))
+        let (started_at, duration) = listing.started_at.zip(self.duration)?;
+        Some(((unix_ms - started_at) / duration).clamp(0.0, 1.0))
     }
 
     fn is_in_slow_start(&self, listing: &Listing, unix_ms: Ms) -> bool {
-        let Some((started_at, span)) = listing.started_at.zip(self.span) else { return false };
+        let Some((started_at, span)) = listing.started_at.zip(self.duration) else { return false };
         (0.0..span).contains(&(unix_ms - started_at))
     }
 
-    /// What a server in slow start bears by now: the total that demands are fractions of. `None` without the settings' window.
-    fn limit(&self, listing: &Listing, fall_span: Option<Ms>, unix_ms: Ms) -> Option<TotalLimit> {
-        let fall_span = fall_span?;
+    /// The current capacity of a server in slow start: the total that demands are fractions of. `None` if the
+    /// settings have no overload window.
+    fn limit(&self, listing: &Listing, overload_window: Option<Ms>, unix_ms: Ms) -> Option<TotalLimit> {
+        let overload_window = overload_window?;
         let initial = self.initial_fraction.unwrap_or(0.0).clamp(MIN_SLOW_START_FRACTION, 1.0);
         let progress = self.progress(listing, unix_ms).unwrap_or(1.0);
         let capacity = (initial + (1.0 - initial) * progress) * USED_CAPACITY;
-        let burst = listing.weight.max(1.0) * self.fall_multiple.unwrap_or(1.0) * fall_span * capacity;
-        Some(TotalLimit { rate: 0.0, burst, window: (fall_span * 1000.0) as Micros })
+        let burst =
+            listing.weight.max(1.0) * self.overload_factor.unwrap_or(1.0) * overload_window * capacity;
+        Some(TotalLimit { rate: 0.0, burst, window: (overload_window * 1000.0) as Micros })
     }
 }
 
-/// Units that were denied lately, and all that were needed, both decaying.
+/// Recently denied units and recently needed units, both decaying over time.
 #[derive(Debug, Default)]
 struct DenialRate {
     denied: f64,
@@ -102,9 +106,9 @@
 impl DenialRate {
     fn decay(&mut self, now: Micros) {
         let elapsed = now.saturating_sub(self.updated_at) as f64;
-        let kept = (-elapsed / DENIAL_DECAY).exp();
-        self.denied *= kept;
-        self.needed *= kept;
+        let factor = (-elapsed / DENIAL_DECAY).exp();
+        self.denied *= factor;
+        self.needed *= factor;
         self.updated_at = now;
     }
 
@@ -120,7 +124,7 @@
     }
 }
 
-/// A change of how many fronts a server's slow-start budget counts as divided among.
+/// A change of the number of fronts among which a server's slow-start budget counts as divided.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlowStartShare {
     /// The server.
@@ -133,20 +137,21 @@
 #[derive(Debug)]
 pub struct BudgetClient {
     settings: LeaseSettings,
-    /// The clocks of this input of the engine: read once for all that it decides.
+    /// The clocks, read once for each input of the engine and used for all its decisions.
     now: Clocks,
-    /// The budgets that the fleet's file gives a size.
+    /// The budgets to which the fleet's file gives a size.
     limits: Vec<(BudgetId, TotalLimit)>,
-    /// The kinds that the file has budgets of.
+    /// The kinds for which the file has budgets.
     kinds: Vec<BudgetKind>,
     ledger: QuotaLedger,
     reports: Sender<EngineReport>,
     waker: Waker,
     spend_log: Option<SpendLog>,
+    /// The servers in slow start that have a budget.
     slow_start: BTreeMap<MemberId, SlowStartServer>,
-    /// Units of fills that may turn out to be none.
+    /// Units reserved for attempts that may need a fill.
     reserved_fills: HashMap<AttemptKey, Vec<(BudgetId, Reservation)>>,
-    /// Shops' requests that run.
+    /// Running requests and the shop concurrency budget that each one holds.
     running: HashMap<RequestId, BudgetId>,
     /// Whether a lease was in force when slow-start quotas were last taken over.
     had_lease: bool,
@@ -201,7 +206,7 @@
         self.limits.iter().any(|(id, _)| *id == budget)
     }
 
-    /// Takes an update of the fleet; that it is in use is reported at once, since others may wait for it.
+    /// Applies an update from the fleet, and wakes the fleet's thread, since others may wait for the confirmation.
     pub fn apply(&mut self, update: FleetUpdate) {
         match update {
             FleetUpdate::Grant(grant) => self.ledger.apply_grant(grant, self.now),
@@ -217,12 +222,12 @@
         self.waker.wake();
     }
 
-    /// Has the fleet's thread look at once.
+    /// Wakes the fleet's thread.
     pub fn wake_fleet(&self) {
         self.waker.wake();
     }
 
-    /// Whether more than a tenth of the retries or fills that were needed lately were denied.
+    /// Whether more than a tenth of the recently needed retries or fills were denied.
     pub fn is_short(&mut self) -> bool {
         self.denials.is_shortage(self.now.monotonic)
     }
@@ -252,7 +257,7 @@
         self.ledger.available(budget, self.now)
     }
 
-    /// Spends a unit; false if it can't be had.
+    /// Spends a unit; false if none is available.
     pub fn try_spend(&mut self, budget: BudgetId, priority: Priority) -> bool {
         let source = self.ledger.try_acquire_combined(budget, 1.0, priority, self.now);
         if let (Some(source), Some(log)) = (source, &self.spend_log) {
@@ -262,19 +267,19 @@
         source.is_some()
     }
 
-    /// Notes that a unit was needed and could not be had.
+    /// Records that a unit was needed and none was available.
     pub fn note_unmet_demand(&mut self, budget: BudgetId, priority: Priority) {
         self.note_request(false);
         self.ledger.record_demand(budget, 1.0, priority, self.now);
     }
 
-    /// Whether a lease has begun or ended since slow-start quotas were last taken over.
+    /// Whether a lease has begun or expired since the last `update_slow_start`.
     pub fn lease_has_changed(&self) -> bool {
         self.had_lease != self.ledger.has_valid_lease(self.now)
     }
 
-    /// Takes over which listed servers are in slow start, and gives for each the number of fronts that its budget counts as
-    /// divided among: the decision module has windows of its own. Nothing where the file has no such budgets.
+    /// Updates which listed servers are in slow start, and returns for each the number of fronts among which its budget
+    /// counts as divided: the decision module has windows of its own. Empty if the file has no such budgets.
     pub fn update_slow_start(
         &mut self,
         listed: &[Listing],
@@ -298,7 +303,7 @@
         shares
     }
 
-    /// The servers in slow start; each has its budget configured.
+    /// Finds the servers in slow start and configures the budget of each.
     fn find_slow_start(
         &mut self,
         listed: &[Listing],
@@ -306,7 +311,7 @@
         unix_ms: Ms,
     ) -> BTreeMap<MemberId, SlowStartServer> {
         let mut servers = BTreeMap::new();
-        // Of caches and of parents; one in slow start counts by how far it has come.
+        // The total weights of caches and of parents. A server in slow start counts in proportion to its progress.
         let mut total_weights = [0.0; 2];
         for listing in listed {
             let is_parent = Some(listing.kind) == settings.parent_kind;
@@ -335,8 +340,9 @@
         servers
     }
 
-    /// Notes that work was sent to a cache, and maybe to a parent for it. Of each, the fraction that is meant for a server in slow
-    /// start counts as demand on its budget, whoever it went to: what is denied there goes elsewhere, and would not be seen.
+    /// Records that work was sent to a cache and possibly to a parent. The fraction meant for a server in slow start
+    /// counts as demand on its budget, whichever server got the work: denied work goes elsewhere and would not be
+    /// counted.
     pub fn note_work_sent(&mut self, with_parent: bool, work: Option<Ms>, priority: Priority) {
         let work = work.unwrap_or(DEFAULT_WORK_MS);
         for server in self.slow_start.values() {
@@ -346,7 +352,7 @@
         }
     }
 
-    /// Whether a fill may be requested; its units are reserved until the attempt's end tells whether there was one.
+    /// Whether a fill may be requested; its units stay reserved until the end of the attempt shows whether it was used.
     pub fn try_reserve_fill(&mut self, attempt: AttemptKey, from_origin: bool, priority: Priority) -> bool {
         let link = self.limits.iter().map(|(id, _)| *id).find(|id| id.kind == BudgetKind::LinkFills);
         let origin = Some(ORIGIN).filter(|origin| from_origin && self.has_budget(*origin));
@@ -367,7 +373,7 @@
         true
     }
 
-    /// An attempt has ended: whether something was filled, and whether the origin gave it.
+    /// Resolves the reservations of an ended attempt, by whether it was a fill and whether the origin supplied it.
     pub fn resolve_fill(&mut self, attempt: AttemptKey, was_filled: bool, by_origin: bool) {
         let Some(reservations) = self.reserved_fills.remove(&attempt) else { return };
         for (budget, reservation) in reservations {
@@ -380,7 +386,7 @@
         }
     }
 
-    /// Whether a shop's request is admitted, by the shop's rate and by how many of its requests run.
+    /// Whether a shop's request is admitted by the shop's rate and concurrency budgets.
     pub fn admit_shop_request(&mut self, id: RequestId, shop: ShopId, priority: Priority) -> bool {
         let concurrency = BudgetId { kind: BudgetKind::ShopConcurrency, resource: shop.0 };
         if self.has_budget(concurrency) {
@@ -397,7 +403,7 @@
         true
     }
 
-    /// A request has had its final answer.
+    /// Releases the concurrency unit of an answered request.
     pub fn end_request(&mut self, id: RequestId) {
         if let Some(budget) = self.running.remove(&id) {
             self.ledger.end_running(budget);
--- a/front/src/engine/cells.rs
+++ b/front/src/engine/cells.rs
@@ -1,5 +1,5 @@
-//! Cells in service: each cell has a router of its own over its own list; what is common (parents, origin, drains and
-//! purges) is told to all, and what they may fill from it has one owner, `elmtide_cells`.
+//! Routing with cells. Each cell has its own router and server list. What cells share (parents, origin, drains and
+//! purges) is given to all routers; `elmtide_cells` alone limits the fills from shared servers.
 
 use std::collections::HashMap;
 
@@ -8,96 +8,101 @@
 
 use super::endpoint_set::{Endpoint, EndpointSet};
 
-/// Routers at most, those of cells that are no more included.
+/// The most routers at a time. Twice as many may be created since the start, including those of removed cells.
 const MAX_CELL_ROUTERS: usize = 128;
 
-/// One router's part of the fleet: a cell, or the shard of it that some shops have.
+/// What one router serves: a cell, or the shard of a cell that some shops use.
 #[derive(Clone, Debug, PartialEq)]
-struct Part {
+struct RouterScope {
     cell: CellIx,
-    /// Places of the shard's boxes in the cell; all of them for none.
+    /// Indices of the shard's boxes in the cell; `None` for all of them.
     shard: Option<Vec<usize>>,
     router: usize,
 }
 
-/// What the engine keeps while there are cells.
+/// The engine's state while cells are in use.
 pub struct CellRouting {
     pub cells: Cells,
-    parts: Vec<Part>,
-    /// What each router was made for; the first is of the time without cells.
+    scopes: Vec<RouterScope>,
+    /// A name for what each router was created for; the first is the router of the time without cells.
     pub names: Vec<String>,
-    /// Requests that wait for room in their cell, and whom they are for.
+    /// Requests queued in their cell, and the shop of each.
     pub waiting: HashMap<RequestId, (Request, ShopId)>,
 }
 
-/// Settings of a router of a cell: of what is common it has its cell's share, as if so many more fronts were there; of the
-/// cell's boxes it has the part that the cell's other routers leave.
-pub fn settings(set: &Settings, layout: &Layout, cell: CellIx, sharing: usize) -> Settings {
+/// The settings of a cell's router. It gets its cell's share of shared servers by counting correspondingly more
+/// fronts, and an equal part of the cell's boxes among the cell's routers.
+pub fn router_settings(
+    settings: &Settings,
+    layout: &Layout,
+    cell: CellIx,
+    routers_in_cell: usize,
+) -> Settings {
     let cells = layout.cells();
     let share = cells[usize::from(cell.0)].source_share.max(1.0 / (8.0 * cells.len() as f64));
-    let more = if cells.len() == 1 { 1.0 } else { 1.0 / share } * sharing as f64;
-    let zone = usize::from(set.zone.0);
-    let mut own = set.clone();
-    own.fronts = Some((f64::from(set.fronts.unwrap_or(1).max(1)) * more).ceil() as u32);
-    if own.zone_fronts.len() <= zone {
-        own.zone_fronts.resize(zone + 1, set.fronts.unwrap_or(1));
+    let front_multiple = if cells.len() == 1 { 1.0 } else { 1.0 / share } * routers_in_cell as f64;
+    let zone = usize::from(settings.zone.0);
+    let mut scaled = settings.clone();
+    scaled.fronts = Some((f64::from(settings.fronts.unwrap_or(1).max(1)) * front_multiple).ceil() as u32);
+    if scaled.zone_fronts.len() <= zone {
+        scaled.zone_fronts.resize(zone + 1, settings.fronts.unwrap_or(1));
     }
-    own.zone_fronts[zone] = own.zone_fronts[zone].max(1) * sharing as u32;
-    // The link into this location is common to all cells too.
-    if let Some(link) = own.zone_link_kb_per_s.get_mut(zone) {
-        *link *= sharing as f64 / more;
+    scaled.zone_fronts[zone] = scaled.zone_fronts[zone].max(1) * routers_in_cell as u32;
+    // All cells also share the link into this location.
+    if let Some(link) = scaled.zone_link_kb_per_s.get_mut(zone) {
+        *link *= routers_in_cell as f64 / front_multiple;
     }
-    own
+    scaled
 }
 
-/// A router that has yet to be made: its place, the cell, and how many routers share the cell's boxes.
+/// A router that is still to be created: its index, its cell, and the number of routers that share the cell's boxes.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Fresh {
+pub struct NewRouter {
     pub router: usize,
     pub cell: CellIx,
-    pub sharing: usize,
+    pub routers_in_cell: usize,
 }
 
 impl CellRouting {
-    /// With the routers that there are, by what they were made for.
+    /// Creates the state for a layout; `names` are those of the existing routers.
     pub fn new(layout: Layout, seed: u64, now: Ms, names: Vec<String>) -> CellRouting {
         CellRouting {
             cells: Cells::new(layout, seed, now),
-            parts: Vec::new(),
+            scopes: Vec::new(),
             names,
             waiting: HashMap::new(),
         }
     }
 
-    /// Gives each cell and shard of the layout in force a router; those that have none yet are returned, in order.
-    pub fn place_routers(&mut self) -> Result<Vec<Fresh>, String> {
+    /// Assigns a router to each cell and shard of the current layout, and returns the routers to create, in order.
+    pub fn assign_routers(&mut self) -> Result<Vec<NewRouter>, String> {
         let layout = self.cells.layout();
-        let mut wanted: Vec<(CellIx, Option<Vec<usize>>)> = Vec::new();
-        for place in 0..layout.cells().len() {
-            wanted.push((CellIx(place as u16), None));
+        let mut required: Vec<(CellIx, Option<Vec<usize>>)> = Vec::new();
+        for index in 0..layout.cells().len() {
+            required.push((CellIx(index as u16), None));
         }
         let sharded = |shop: &ShopId| layout.rule(*shop).is_some_and(|r| r.shard.is_some());
         for shop in layout.shops().filter(sharded) {
-            let part = (layout.cell_of(shop), Some(layout.shard_of(shop)));
-            if !wanted.contains(&part) {
-                wanted.push(part);
+            let scope = (layout.cell_of(shop), Some(layout.shard_of(shop)));
+            if !required.contains(&scope) {
+                required.push(scope);
             }
-            if wanted.len() > MAX_CELL_ROUTERS {
+            if required.len() > MAX_CELL_ROUTERS {
                 return Err(format!("over {MAX_CELL_ROUTERS} different cells and shards"));
             }
         }
-        let sharing = |cell: CellIx| wanted.iter().filter(|(c, _)| *c == cell).count();
-        let (mut names, mut fresh, mut parts) = (self.names.clone(), Vec::new(), Vec::new());
-        for (cell, shard) in &wanted {
-            let many = sharing(*cell);
+        let count_routers = |cell: CellIx| required.iter().filter(|(c, _)| *c == cell).count();
+        let (mut names, mut new_routers, mut scopes) = (self.names.clone(), Vec::new(), Vec::new());
+        for (cell, shard) in &required {
+            let many = count_routers(*cell);
             let name = format!("{} {shard:?} {many}", layout.cells()[usize::from(cell.0)].name);
             let known = names.iter().skip(1).position(|n| *n == name).map(|p| p + 1);
             let router = known.unwrap_or_else(|| {
                 names.push(name);
-                fresh.push(Fresh { router: names.len() - 1, cell: *cell, sharing: many });
+                new_routers.push(NewRouter { router: names.len() - 1, cell: *cell, routers_in_cell: many });
                 names.len() - 1
             });
-            parts.push(Part { cell: *cell, shard: shard.clone(), router });
+            scopes.push(RouterScope { cell: *cell, shard: shard.clone(), router });
         }
         if names.len() > 2 * MAX_CELL_ROUTERS {
             return Err(format!(
@@ -105,35 +110,41 @@
                 2 * MAX_CELL_ROUTERS
             ));
         }
-        (self.names, self.parts) = (names, parts);
-        Ok(fresh)
+        (self.names, self.scopes) = (names, scopes);
+        Ok(new_routers)
     }
 
-    /// Who decides on a request of a shop in a cell: in its own cell, the router of its shard.
+    /// The router for a shop's request in a cell: in the shop's own cell, the router of its shard.
     pub fn router(&self, cell: CellIx, shop: ShopId) -> usize {
         let layout = self.cells.layout();
-        let own = layout.cell_of(shop) == cell && layout.rule(shop).is_some_and(|r| r.shard.is_some());
-        let shard = own.then(|| layout.shard_of(shop));
-        let part =
-            |shard: &Option<Vec<usize>>| self.parts.iter().find(|p| p.cell == cell && p.shard == *shard);
-        part(&shard).or_else(|| part(&None)).map_or(0, |p| p.router)
+        let is_own_sharded =
+            layout.cell_of(shop) == cell && layout.rule(shop).is_some_and(|r| r.shard.is_some());
+        let shard = is_own_sharded.then(|| layout.shard_of(shop));
+        let scope =
+            |shard: &Option<Vec<usize>>| self.scopes.iter().find(|p| p.cell == cell && p.shard == *shard);
+        scope(&shard).or_else(|| scope(&None)).map_or(0, |p| p.router)
     }
 
-    /// The cell that a router is for, while the layout has it.
+    /// The cell that a router serves; `None` if the layout does not use the router.
     pub fn cell(&self, router: usize) -> Option<CellIx> {
-        self.parts.iter().find(|p| p.router == router).map(|p| p.cell)
+        self.scopes.iter().find(|p| p.router == router).map(|p| p.cell)
     }
 
-    /// The list for each router, and how many boxes of each cell are ready. A cache node that no cell has is nobody's.
-    pub fn lists(&self, endpoints: &EndpointSet, set: &Settings) -> (Vec<(usize, Vec<Listing>)>, Vec<usize>) {
+    /// The list of each router, and the number of ready boxes of each cell. A cache node in no cell is left out.
+    pub fn lists(
+        &self,
+        endpoints: &EndpointSet,
+        settings: &Settings,
+    ) -> (Vec<(usize, Vec<Listing>)>, Vec<usize>) {
         let layout = self.cells.layout();
-        let common = |l: &Listing| Some(l.kind) == set.parent_kind || Some(l.kind) == set.origin_kind;
+        let is_shared =
+            |l: &Listing| Some(l.kind) == settings.parent_kind || Some(l.kind) == settings.origin_kind;
         let mut ready = vec![0; layout.cells().len()];
         let mut lists: Vec<(usize, Vec<Listing>)> =
-            self.parts.iter().map(|p| (p.router, Vec::new())).collect();
+            self.scopes.iter().map(|p| (p.router, Vec::new())).collect();
         for Endpoint { listing, name, addr } in endpoints.effective_endpoints() {
             let listing = &listing;
-            if common(listing) {
+            if is_shared(listing) {
                 lists.iter_mut().for_each(|(_, list)| list.push(*listing));
                 continue;
             }
@@ -141,21 +152,21 @@
             let Some(cell) = layout.cell_of_node(&name).or_else(by_address) else { continue };
             let boxes = &layout.cells()[usize::from(cell.0)].boxes;
             let addr = addr.map(|a| a.to_string());
-            let place = boxes.iter().position(|b| **b == *name || Some(b) == addr.as_ref());
-            for (part, (_, list)) in self.parts.iter().zip(&mut lists) {
-                let has = part.shard.as_ref().is_none_or(|s| place.is_some_and(|p| s.contains(&p)));
-                if part.cell == cell && has {
+            let index = boxes.iter().position(|b| **b == *name || Some(b) == addr.as_ref());
+            for (scope, (_, list)) in self.scopes.iter().zip(&mut lists) {
+                let in_scope = scope.shard.as_ref().is_none_or(|s| index.is_some_and(|p| s.contains(&p)));
+                if scope.cell == cell && in_scope {
                     list.push(*listing);
                 }
             }
             ready[usize::from(cell.0)] +=
-                usize::from(listing.availability == Availability::Ready && listing.zone == set.zone);
+                usize::from(listing.availability == Availability::Ready && listing.zone == settings.zone);
         }
         (lists, ready)
     }
 }
 
-/// A whole list for a router.
-pub fn whole(entries: Vec<Listing>) -> Event {
+/// An event with a full list for a router.
+pub fn full_list(entries: Vec<Listing>) -> Event {
     Event::List { update: ListUpdate::Full, entries }
 }
--- a/front/src/engine/drain.rs
+++ b/front/src/engine/drain.rs
@@ -1,7 +1,7 @@
-//! The drain in the engine: which requests are still admitted, and what becomes of the open ones at the cut-off.
+//! Draining: which requests are still admitted, and what happens to open requests at the cut-off.
 //!
-//! The decisions are those of `elmtide-drain`; this module carries them out. How far a drain has come is read from the
-//! process's mode at each request, by the monotonic clock, so that a resume has its effect at once.
+//! `elmtide-drain` decides; this module carries its decisions out. The phase of a drain is read from the process's
+//! mode at each request, by the monotonic clock, so that a resume takes effect at once.
 
 use std::sync::atomic::Ordering::Relaxed;
 
@@ -16,7 +16,7 @@
 use crate::process::clock;
 
 impl<U: Upstream> Engine<U> {
-    /// The request, with its deadline no later than the cut-off of a drain; none where it has been rejected.
+    /// Returns the request with its deadline limited to the cut-off of a drain, or `None` if it was rejected.
     pub(super) fn admit_in_drain(&self, mut incoming: Incoming) -> Option<Incoming> {
         let mode = &self.counters.mode;
         if !mode.sends_away() {
@@ -26,8 +26,9 @@
         match mode.drain_phase(uptime).admission() {
             Admission::Admit => {}
             Admission::AdmitUntilCutOff => {
-                let left = mode.time_until_cut_off(uptime).map(|left| left.as_secs_f64() * 1000.0);
-                let cut_off = self.now + left.unwrap_or(Ms::INFINITY);
+                let time_left =
+                    mode.time_until_cut_off(uptime).map(|time_left| time_left.as_secs_f64() * 1000.0);
+                let cut_off = self.now + time_left.unwrap_or(Ms::INFINITY);
                 incoming.deadline = incoming.deadline.min(cut_off);
             }
             Admission::Reject => {
@@ -39,20 +40,20 @@
         Some(incoming)
     }
 
-    /// Answers what is still open when a drain has come to its cut-off. To be called now and then.
+    /// Answers the requests that are still open once a drain has reached its cut-off. Must be called periodically.
     pub(super) fn cut_off_open_requests(&mut self) {
         let mode = &self.counters.mode;
         if !mode.sends_away() || !mode.drain_phase(clock::uptime()).cuts_off_open_requests() {
             return;
         }
-        let ends = mode.state() == State::Ending;
+        let process_ends = mode.state() == State::Ending;
         for id in self.exchanges.unanswered_ids() {
-            self.cut_off_request(id, ends);
+            self.cut_off_request(id, process_ends);
         }
     }
 
-    /// A request that may be repeated is rejected, whatever is out for it. One that may not is rejected if nothing of it has
-    /// been sent on. If something has, it goes on up to its deadline; only where the process ends it fails now.
+    /// Rejects a repeatable request, whatever attempts are in flight. A non-repeatable request is rejected if none of
+    /// its attempts was fully written. Otherwise it continues up to its deadline, or fails now if the process stops.
     fn cut_off_request(&mut self, id: RequestId, process_ends: bool) {
         let Some(exchange) = self.exchanges.get(id) else { return };
         let class = self.settings.classes.get(usize::from(exchange.class.0));
--- a/front/src/engine/endpoint_set.rs
+++ b/front/src/engine/endpoint_set.rs
@@ -1,4 +1,4 @@
-//! The endpoints that the lists have named, with the servers under maintenance taken for draining.
+//! The endpoints of all lists, with servers under maintenance treated as draining.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -6,12 +6,12 @@
 
 use elmtide::{Availability, Event, KindId, Listing, MemberId};
 
-use crate::exchange::MembersNews;
+use crate::exchange::MembersUpdate;
 
-/// Endpoints remembered for routers to come; above it those that are gone are forgotten.
+/// The most endpoints kept for new routers; above it, endpoints that are gone are removed.
 const MAX_ENDPOINTS: usize = 4096;
 
-/// An endpoint as the lists have named it last.
+/// An endpoint as last listed.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
     pub listing: Listing,
@@ -19,34 +19,34 @@
     pub addr: Option<SocketAddr>,
 }
 
-/// All endpoints as the lists have named them last.
+/// All endpoints as last listed.
 #[derive(Debug, Default)]
 pub struct EndpointSet {
     endpoints: BTreeMap<MemberId, Endpoint>,
-    /// They drain, whatever their lists say.
+    /// Servers under maintenance: treated as draining, whatever the lists say.
     under_maintenance: BTreeSet<MemberId>,
 }
 
 impl EndpointSet {
-    /// Takes over a list, whole or partial.
-    pub fn learn(&mut self, news: &MembersNews, event: &Event) {
+    /// Applies a full or partial list.
+    pub fn update(&mut self, members_update: &MembersUpdate, event: &Event) {
         let Event::List { entries, .. } = event else { return };
-        if news.full {
+        if members_update.full {
             for endpoint in self.endpoints.values_mut() {
                 endpoint.listing.availability = Availability::Gone;
             }
         }
         for listing in entries {
-            self.learn_one(news, listing);
+            self.update_one(members_update, listing);
         }
         if self.endpoints.len() > MAX_ENDPOINTS {
             self.endpoints.retain(|_, endpoint| endpoint.listing.availability != Availability::Gone);
         }
     }
 
-    fn learn_one(&mut self, news: &MembersNews, listing: &Listing) {
+    fn update_one(&mut self, members_update: &MembersUpdate, listing: &Listing) {
         let listing = *listing;
-        if let Some(named) = news.members.iter().find(|m| m.member == listing.member) {
+        if let Some(named) = members_update.members.iter().find(|m| m.member == listing.member) {
             let endpoint = Endpoint { listing, name: named.name.clone(), addr: named.addr };
             self.endpoints.insert(listing.member, endpoint);
         } else if let Some(known) = self.endpoints.get_mut(&listing.member) {
@@ -54,7 +54,7 @@
         }
     }
 
-    /// The servers that are to drain, whatever their lists say: their machines are under maintenance.
+    /// Sets the servers to treat as draining because their machines are under maintenance.
     pub fn exclude(&mut self, under_maintenance: BTreeSet<MemberId>) {
         self.under_maintenance = under_maintenance;
     }
@@ -80,13 +80,13 @@
         }
     }
 
-    /// The listings of some members, as routers are to be told them.
+    /// The listings of some members, as given to routers.
     pub fn effective_listings(&self, members: &[MemberId]) -> Vec<Listing> {
         let known = members.iter().filter_map(|member| self.endpoints.get(member));
         known.map(|endpoint| self.effective(&endpoint.listing)).collect()
     }
 
-    /// All endpoints, those that are gone too, as routers are to be told them.
+    /// All endpoints, including those that are gone, as given to routers.
     pub fn effective_endpoints(&self) -> impl Iterator<Item = Endpoint> + '_ {
         self.endpoints.values().map(|endpoint| {
             let listing = self.effective(&endpoint.listing);
@@ -94,28 +94,28 @@
         })
     }
 
-    /// All listings as the lists have them, of those that are gone too.
+    /// All listings as received, including those that are gone.
     pub fn all_listings(&self) -> Vec<Listing> {
         self.endpoints.values().map(|endpoint| endpoint.listing).collect()
     }
 
-    /// Whether the member is there and may be sent new work.
+    /// Whether the member is listed and may get new work.
     pub fn is_ready(&self, member: MemberId) -> bool {
         let endpoint = self.endpoints.get(&member);
         endpoint.is_some_and(|e| self.effective(&e.listing).availability == Availability::Ready)
     }
 
-    /// The member's kind, where it is known.
+    /// The member's kind, if it is known.
     pub fn kind(&self, member: MemberId) -> Option<KindId> {
         self.endpoints.get(&member).map(|endpoint| endpoint.listing.kind)
     }
 
-    /// The listings of the members in the list now.
+    /// The listings of the members that are present.
     pub fn present_listings(&self) -> Vec<Listing> {
         self.present_endpoints().map(|endpoint| self.effective(&endpoint.listing)).collect()
     }
 
-    /// The members in the list now, each with whether it takes new work.
+    /// The members that are present, each with whether it takes new work.
     pub fn present(&self) -> impl Iterator<Item = (MemberId, bool)> + '_ {
         self.present_endpoints().map(|endpoint| {
             let ready = self.effective(&endpoint.listing).availability == Availability::Ready;
--- a/front/src/engine/fleet_report.rs
+++ b/front/src/engine/fleet_report.rs
@@ -1,4 +1,4 @@
-//! What the engine reports to the fleet's thread, and what it takes over from the leases held there.
+//! Reports to the fleet's thread, and updates that the engine gets from it.
 
 use elmtide::Listing;
 
@@ -7,12 +7,12 @@
 use crate::fleet_link::FleetUpdate;
 
 impl<U: Upstream> Engine<U> {
-    /// Takes over what the fleet's thread has decided.
+    /// Applies an update from the fleet's thread.
     pub(super) fn apply_fleet_update(&mut self, update: FleetUpdate) {
         match update {
-            FleetUpdate::Maintenance(told) => {
+            FleetUpdate::Maintenance(view) => {
                 if let Some(maintenance) = &mut self.maintenance {
-                    maintenance.take(&told);
+                    maintenance.apply(&view);
                 }
                 self.exclude_servers_under_maintenance();
                 self.withdraw_from_unavailable();
@@ -26,48 +26,52 @@
     }
 
     fn apply_budget_update(&mut self, update: FleetUpdate) {
-        let answer = !matches!(update, FleetUpdate::Close(_));
+        let needs_report = !matches!(update, FleetUpdate::Close(_));
         if let Some(budgets) = &mut self.budgets {
             budgets.apply(update);
         }
-        if answer {
+        if needs_report {
             self.report_to_fleet();
         }
         self.update_slow_start_shares();
     }
 
-    /// Tells the fleet's thread what is wanted, used and seen.
+    /// Reports demand, usage and observations to the fleet's thread.
     pub(super) fn report_to_fleet(&mut self) {
         let Some(budgets) = &mut self.budgets else { return };
         if let Some(maintenance) = &self.maintenance {
-            maintenance.let_go().for_each(|member| self.failing.forget(member));
+            maintenance.released_members().for_each(|member| self.failing.forget(member));
         }
-        let said = self.maintenance.as_mut().map(|maintenance| {
+        let report = self.maintenance.as_mut().map(|maintenance| {
             let (exchanges, failing) = (&self.exchanges, &self.failing);
-            let busy = exchanges.unanswered() > 0;
-            let mut said = maintenance.said(
+            let has_open_requests = exchanges.unanswered() > 0;
+            let mut report = maintenance.report(
                 &self.endpoints.all_listings(),
                 &self.settings,
                 self.now,
                 |member| failing.is_failing(member),
                 |member| exchanges.is_open_at(member),
-                busy,
+                has_open_requests,
             );
-            said.is_overloaded = budgets.is_short();
-            said
+            report.is_overloaded = budgets.is_short();
+            report
         });
-        let (set, now) = (&self.settings, self.now);
-        let cold = |l: &Listing| {
-            let ours =
-                l.zone == set.zone && Some(l.kind) != set.parent_kind && Some(l.kind) != set.origin_kind;
-            let span = set.cold_duration.filter(|span| *span > 0.0);
-            ours && l.started_at.zip(span).is_some_and(|(started_at, span)| now - started_at < span)
+        let (settings, now) = (&self.settings, self.now);
+        let is_cold = |l: &Listing| {
+            let is_own_cache = l.zone == settings.zone
+                && Some(l.kind) != settings.parent_kind
+                && Some(l.kind) != settings.origin_kind;
+            let duration = settings.cold_duration.filter(|duration| *duration > 0.0);
+            is_own_cache
+                && l.started_at
+                    .zip(duration)
+                    .is_some_and(|(started_at, duration)| now - started_at < duration)
         };
-        let warm = !self.endpoints.all_listings().iter().any(cold);
-        budgets.report(said, warm);
+        let caches_warm = !self.endpoints.all_listings().iter().any(is_cold);
+        budgets.report(report, caches_warm);
     }
 
-    /// Tells the routers their parts of what cold boxes and parents bear.
+    /// Gives the routers this front's shares of the capacity of servers in slow start.
     pub(super) fn update_slow_start_shares(&mut self) {
         let Some(budgets) = &mut self.budgets else { return };
         let listed = self.endpoints.present_listings();
--- a/front/src/engine/maintenance_client.rs
+++ b/front/src/engine/maintenance_client.rs
@@ -1,5 +1,5 @@
-//! Machines out for work, where requests are decided: what is kept off by the view that the fleet's thread has told, as the clocks of
-//! the moment have it, and what is said back of them.
+//! The engine's side of machine maintenance: which members are excluded by the view from the fleet's thread at the
+//! current time, and what the engine reports back about the machines.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,221 +10,236 @@
 };
 use elmtide_maintenance::{MachineId, MaintenanceExclusions, MaintenanceReport, Stage};
 
-use crate::exchange::MembersNews;
+use crate::exchange::MembersUpdate;
 use crate::process::clock;
 
-/// Members whose machines are remembered.
-const MOST: usize = 4096;
-/// Load is reckoned over so many microseconds.
-const FADE: f64 = 2_000_000.0;
-/// Work of a request whose size is not told, in milliseconds at full pace.
-const WORK: Ms = 50.0;
+/// The most members whose machines are kept.
+const MAX_MEMBERS: usize = 4096;
+/// Time constant of the decay of a machine's load, in microseconds.
+const LOAD_DECAY_MICROS: f64 = 2_000_000.0;
+/// Work of a request of unknown size, in milliseconds at the full transfer rate.
+const DEFAULT_WORK_MS: Ms = 50.0;
 
+/// The engine's view of machines under maintenance.
 #[derive(Debug)]
 pub struct MaintenanceClient {
-    /// The clocks of this input of the engine.
+    /// The clocks as read at the engine's current input.
     now: Clocks,
-    viewer: MaintenanceExclusions,
-    /// The machine that this front runs on, if it is one of the file's.
-    own: Option<MachineId>,
-    members: BTreeMap<MemberId, MachineId>,
-    /// When members started, as the lists have stamped it.
+    exclusions: MaintenanceExclusions,
+    /// The machine that this front runs on, if the fleet's file lists it.
+    own_machine: Option<MachineId>,
+    machine_of_member: BTreeMap<MemberId, MachineId>,
+    /// Members' start times as stamped by the lists.
     stamped_starts: BTreeMap<MemberId, Option<Ms>>,
-    off: BTreeSet<MemberId>,
-    /// Machines that this front has had in its lists: one that is in none any more is absent.
-    mine: BTreeSet<MachineId>,
-    /// Whether the lease on the view was in force when `off` was made.
-    leased: bool,
-    /// Machines that were sent work since they were let go last: whether any was done well.
-    tried: BTreeMap<MachineId, bool>,
+    /// Members whose machines were excluded at the last `refresh`.
+    excluded: BTreeSet<MemberId>,
+    /// Machines that this front's lists have contained; one that is no longer listed is reported as absent.
+    listed_machines: BTreeSet<MachineId>,
+    /// Whether the lease on the view was valid at the last `refresh`.
+    had_lease: bool,
+    /// Machines that were sent work since their last release: whether any of it succeeded.
+    work_succeeded: BTreeMap<MachineId, bool>,
+    /// Recent work sent to each machine, in decaying milliseconds.
     load: BTreeMap<MachineId, f64>,
-    faded: u64,
+    /// When `load` was last decayed, in microseconds of the monotonic clock.
+    load_decayed_at: u64,
 }
 
 impl MaintenanceClient {
-    pub fn new(viewer: MaintenanceExclusions, own: Option<MachineId>) -> MaintenanceClient {
+    pub fn new(exclusions: MaintenanceExclusions, own_machine: Option<MachineId>) -> MaintenanceClient {
         MaintenanceClient {
             now: clock::both(),
-            viewer,
-            own,
-            members: BTreeMap::new(),
+            exclusions,
+            own_machine,
+            machine_of_member: BTreeMap::new(),
             stamped_starts: BTreeMap::new(),
-            off: BTreeSet::new(),
-            mine: BTreeSet::new(),
-            leased: false,
-            tried: BTreeMap::new(),
+            excluded: BTreeSet::new(),
+            listed_machines: BTreeSet::new(),
+            had_lease: false,
+            work_succeeded: BTreeMap::new(),
             load: BTreeMap::new(),
-            faded: 0,
+            load_decayed_at: 0,
         }
     }
 
-    /// Another input: the clocks of its moment.
-    pub fn at(&mut self, now: Clocks) {
+    /// Sets the clocks of the next input.
+    pub fn set_time(&mut self, now: Clocks) {
         self.now = now;
     }
 
-    /// What the fleet's thread was told.
-    pub fn take(&mut self, told: &LeasedMaintenanceView) {
-        self.viewer.apply(told, self.now);
+    /// Applies a view from the fleet's thread.
+    pub fn apply(&mut self, view: &LeasedMaintenanceView) {
+        self.exclusions.apply(view, self.now);
     }
 
-    /// Which machine each member of a list is.
-    pub fn learn(&mut self, news: &MembersNews) {
-        for member in news.members.iter().filter(|m| !m.gone) {
-            let machine = self.viewer.machine_at(&member.name, member.addr);
-            self.members.insert(member.member, machine);
+    /// Updates which machine each listed member is on.
+    pub fn update_members(&mut self, members_update: &MembersUpdate) {
+        for member in members_update.members.iter().filter(|m| !m.gone) {
+            let machine = self.exclusions.machine_at(&member.name, member.addr);
+            self.machine_of_member.insert(member.member, machine);
             self.stamped_starts.insert(member.member, member.started_at);
         }
-        while self.members.len() > MOST {
-            self.members.pop_first();
+        while self.machine_of_member.len() > MAX_MEMBERS {
+            self.machine_of_member.pop_first();
         }
-        while self.stamped_starts.len() > MOST {
+        while self.stamped_starts.len() > MAX_MEMBERS {
             self.stamped_starts.pop_first();
         }
     }
 
-    /// Whether what is kept off may be out of date: the lease on the view has begun or ended since.
-    pub fn turned(&self) -> bool {
-        self.leased != self.viewer.has_valid_lease(self.now)
+    /// Whether the lease on the view has begun or expired since the last `refresh`, so that the exclusions may be
+    /// stale.
+    pub fn lease_has_changed(&self) -> bool {
+        self.had_lease != self.exclusions.has_valid_lease(self.now)
     }
 
-    /// Looks again at what is kept off by now; the members of which that has changed.
+    /// Recomputes the excluded members and returns those that changed.
     pub fn refresh(&mut self) -> Vec<MemberId> {
         let now = self.now;
-        self.leased = self.viewer.has_valid_lease(now);
-        let off: BTreeSet<MemberId> = (self.members.iter())
-            .filter(|(_, machine)| self.viewer.is_excluded(**machine, now))
+        self.had_lease = self.exclusions.has_valid_lease(now);
+        let excluded: BTreeSet<MemberId> = (self.machine_of_member.iter())
+            .filter(|(_, machine)| self.exclusions.is_excluded(**machine, now))
             .map(|(member, _)| *member)
             .collect();
-        let changed = off.symmetric_difference(&self.off).copied().collect();
-        self.off = off;
+        let changed = excluded.symmetric_difference(&self.excluded).copied().collect();
+        self.excluded = excluded;
         changed
     }
 
-    /// Members whose machines are let go or just back: what they failed before that is another machine's past.
-    pub fn let_go(&self) -> impl Iterator<Item = MemberId> + '_ {
-        let gone = |machine: &MachineId| self.viewer.stage(*machine).is_some_and(is_let_go);
-        self.members.iter().filter(move |(_, machine)| gone(machine)).map(|(member, _)| *member)
+    /// Members whose machines are released or just returned: earlier failures don't count for a returning machine.
+    pub fn released_members(&self) -> impl Iterator<Item = MemberId> + '_ {
+        let is_released_machine =
+            |machine: &MachineId| self.exclusions.stage(*machine).is_some_and(is_released);
+        self.machine_of_member
+            .iter()
+            .filter(move |(_, machine)| is_released_machine(machine))
+            .map(|(member, _)| *member)
     }
 
-    /// Work of a request was done well there.
-    pub fn served(&mut self, member: MemberId) {
-        let Some(machine) = self.members.get(&member).copied() else { return };
-        if self.viewer.knows(machine) {
-            self.tried.insert(machine, true);
+    /// Records that a member completed a request's work.
+    pub fn note_success(&mut self, member: MemberId) {
+        let Some(machine) = self.machine_of_member.get(&member).copied() else { return };
+        if self.exclusions.knows(machine) {
+            self.work_succeeded.insert(machine, true);
         }
     }
 
-    pub fn off(&self) -> &BTreeSet<MemberId> {
-        &self.off
+    /// The members excluded at the last `refresh`.
+    pub fn excluded(&self) -> &BTreeSet<MemberId> {
+        &self.excluded
     }
 
-    /// Whether this front's own machine is to go: clients are sent away.
-    pub fn goes(&self) -> bool {
-        let stage = self.own.and_then(|own| self.viewer.stage(own));
+    /// Whether this front's own machine is excluded, so that clients are sent to other fronts.
+    pub fn is_own_machine_excluded(&self) -> bool {
+        let stage = self.own_machine.and_then(|machine| self.exclusions.stage(machine));
         stage.is_some_and(|s| s.is_excluded())
     }
 
-    /// Work was sent to these.
-    pub fn sent(&mut self, members: &[MemberId], work: Option<Ms>) {
-        self.fade();
-        for machine in members.iter().filter_map(|m| self.members.get(m)) {
-            if self.viewer.knows(*machine) {
-                *self.load.entry(*machine).or_default() += work.unwrap_or(WORK);
-                self.tried.entry(*machine).or_insert(false);
+    /// Records that work was sent to these members.
+    pub fn note_work_sent(&mut self, members: &[MemberId], work: Option<Ms>) {
+        self.decay_load();
+        for machine in members.iter().filter_map(|m| self.machine_of_member.get(m)) {
+            if self.exclusions.knows(*machine) {
+                *self.load.entry(*machine).or_default() += work.unwrap_or(DEFAULT_WORK_MS);
+                self.work_succeeded.entry(*machine).or_insert(false);
             }
         }
     }
 
-    fn fade(&mut self) {
+    fn decay_load(&mut self) {
         let now = self.now.monotonic;
-        let keep = (-(now.saturating_sub(self.faded) as f64) / FADE).exp();
-        self.faded = now;
-        self.load.values_mut().for_each(|load| *load *= keep);
+        let kept_fraction = (-(now.saturating_sub(self.load_decayed_at) as f64) / LOAD_DECAY_MICROS).exp();
+        self.load_decayed_at = now;
+        self.load.values_mut().for_each(|load| *load *= kept_fraction);
         self.load.retain(|_, load| *load > 1e-3);
     }
 
-    /// What is said with the next ask. `open` tells whether something is open at a member; `busy` whether anything is open at all.
-    pub fn said(
+    /// The report to send with the next lease request. `is_open_at` tells whether a member has attempts in flight,
+    /// `has_open_requests` whether any request is open.
+    pub fn report(
         &mut self,
         listed: &[Listing],
-        set: &Settings,
+        settings: &Settings,
         now: Ms,
-        failing: impl Fn(MemberId) -> bool,
-        open: impl Fn(MemberId) -> bool,
-        busy: bool,
+        is_failing: impl Fn(MemberId) -> bool,
+        is_open_at: impl Fn(MemberId) -> bool,
+        has_open_requests: bool,
     ) -> MaintenanceReport {
-        self.fade();
-        let viewer = &self.viewer;
-        let there = |m: MachineId| viewer.knows(m) && !viewer.stage(m).is_some_and(is_let_go);
-        // What was sent and done before it was let go says nothing of the one that comes back.
-        self.tried.retain(|machine, _| there(*machine));
-        self.load.retain(|machine, _| there(*machine));
-        let mut sights: BTreeMap<MachineId, MachineObservation> = BTreeMap::new();
+        self.decay_load();
+        let exclusions = &self.exclusions;
+        let is_in_use = |m: MachineId| exclusions.knows(m) && !exclusions.stage(m).is_some_and(is_released);
+        // Work from before a machine's release says nothing about the machine that returns.
+        self.work_succeeded.retain(|machine, _| is_in_use(*machine));
+        self.load.retain(|machine, _| is_in_use(*machine));
+        let mut observations: BTreeMap<MachineId, MachineObservation> = BTreeMap::new();
         for listing in listed {
-            let Some(machine) = self.members.get(&listing.member).copied() else { continue };
-            let parent = Some(listing.kind) == set.parent_kind;
-            let ours = (parent || listing.zone == set.zone) && Some(listing.kind) != set.origin_kind;
-            if !ours || !self.viewer.knows(machine) {
+            let Some(machine) = self.machine_of_member.get(&listing.member).copied() else { continue };
+            let is_parent = Some(listing.kind) == settings.parent_kind;
+            let is_own =
+                (is_parent || listing.zone == settings.zone) && Some(listing.kind) != settings.origin_kind;
+            if !is_own || !self.exclusions.knows(machine) {
                 continue;
             }
-            let looks = match listing.availability {
+            let observed_state = match listing.availability {
                 Availability::Gone => ObservedState::Absent,
                 Availability::Draining => ObservedState::Draining,
-                Availability::Ready if failing(listing.member) => ObservedState::Failing,
+                Availability::Ready if is_failing(listing.member) => ObservedState::Failing,
                 Availability::Ready => ObservedState::Ready,
             };
-            let span = if parent { set.parent_cold_duration } else { set.cold_duration };
-            let age = listing
+            let slow_start_duration =
+                if is_parent { settings.parent_cold_duration } else { settings.cold_duration };
+            let progress = listing
                 .started_at
-                .zip(span.filter(|s| *s > 0.0))
-                .map(|(started_at, span)| (now - started_at) / span);
-            let sight = MachineObservation {
-                state: looks,
-                // As it was stamped: all fronts have to name one start alike.
+                .zip(slow_start_duration.filter(|s| *s > 0.0))
+                .map(|(started_at, slow_start_duration)| (now - started_at) / slow_start_duration);
+            let observation = MachineObservation {
+                state: observed_state,
+                // The stamped time, unconverted: all fronts must report the same value for one start.
                 started_at_ms: (self.stamped_starts.get(&listing.member).copied().flatten())
                     .map_or(0, |ms| ms.max(0.0) as u64),
-                warm_percent: (age.unwrap_or(1.0).clamp(0.0, 1.0) * 100.0) as u8,
-                load: (self.load.get(&machine).copied().unwrap_or(0.0) / (FADE / 1e6)) as u32,
-                attempt_outcome: match self.tried.get(&machine) {
+                warm_percent: (progress.unwrap_or(1.0).clamp(0.0, 1.0) * 100.0) as u8,
+                load: (self.load.get(&machine).copied().unwrap_or(0.0) / (LOAD_DECAY_MICROS / 1e6)) as u32,
+                attempt_outcome: match self.work_succeeded.get(&machine) {
                     None => AttemptOutcome::NoneSent,
-                    Some(false) if !parent => AttemptOutcome::NoneSucceeded,
+                    Some(false) if !is_parent => AttemptOutcome::NoneSucceeded,
                     Some(_) => AttemptOutcome::Succeeded,
                 },
             };
-            self.mine.insert(machine);
-            // A machine that is listed under several names is as good as the best of them.
-            let better = |before: &MachineObservation| {
-                looks == ObservedState::Ready || before.state == ObservedState::Absent
+            self.listed_machines.insert(machine);
+            // A machine that is listed under several names has the best of their states.
+            let is_better = |before: &MachineObservation| {
+                observed_state == ObservedState::Ready || before.state == ObservedState::Absent
             };
-            if sights.get(&machine).is_none_or(better) {
-                sights.insert(machine, sight);
+            if observations.get(&machine).is_none_or(is_better) {
+                observations.insert(machine, observation);
             }
         }
         let absent = MachineObservation { state: ObservedState::Absent, ..MachineObservation::default() };
-        for machine in &self.mine {
-            sights.entry(*machine).or_insert(absent);
+        for machine in &self.listed_machines {
+            observations.entry(*machine).or_insert(absent);
         }
-        while self.mine.len() > MAX_OBSERVATIONS {
-            self.mine.pop_first();
+        while self.listed_machines.len() > MAX_OBSERVATIONS {
+            self.listed_machines.pop_first();
         }
-        let at =
-            |machine: MachineId| self.members.iter().filter(move |(_, m)| **m == machine).map(|(id, _)| *id);
-        let clear = self.viewer.excluded_by_view().filter(|machine| match Some(*machine) == self.own {
-            true => !busy,
-            false => !at(*machine).any(&open),
-        });
+        let members_on = |machine: MachineId| {
+            self.machine_of_member.iter().filter(move |(_, m)| **m == machine).map(|(id, _)| *id)
+        };
+        let drained =
+            self.exclusions.excluded_by_view().filter(|machine| match Some(*machine) == self.own_machine {
+                true => !has_open_requests,
+                false => !members_on(*machine).any(&is_open_at),
+            });
         MaintenanceReport {
-            acknowledged: self.viewer.has_view().then(|| self.viewer.epoch()),
-            drained: clear.collect(),
-            observations: sights.into_iter().take(MAX_OBSERVATIONS).collect(),
+            acknowledged: self.exclusions.has_view().then(|| self.exclusions.epoch()),
+            drained: drained.collect(),
+            observations: observations.into_iter().take(MAX_OBSERVATIONS).collect(),
             is_overloaded: false,
             needs_details: false,
         }
     }
 }
 
-/// Nobody sends to it, and what it was before is over.
-fn is_let_go(stage: Stage) -> bool {
+/// Whether nobody sends to the machine any more and its earlier state no longer counts.
+fn is_released(stage: Stage) -> bool {
     matches!(stage, Stage::Released | Stage::Returned)
 }
--- a/front/src/engine/mod.rs
+++ b/front/src/engine/mod.rs
@@ -1,5 +1,5 @@
-//! The engine: one thread that owns the decisions. Events come in by a channel, actions go out, timers are the
-//! deadline of the receive. It does no I/O and never blocks on a peer.
+//! The engine: one thread that owns all routing decisions. Events arrive on a channel and actions go out; the next
+//! timer is the timeout of the receive. The engine does no I/O and never blocks on a peer.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -27,7 +27,7 @@
 use self::timers::{
     Timer, TimerQueue, CONNECTION_CHECK_INTERVAL_MS, FLEET_REPORT_INTERVAL_MS, SWEEP_INTERVAL_MS,
 };
-use crate::exchange::{AttemptKey, Input, ListSource, MembersNews, Reconfiguration, Returned, Upstream};
+use crate::exchange::{AttemptEnd, AttemptKey, Input, ListSource, MembersUpdate, Reconfiguration, Upstream};
 use crate::memory::announced::Announced;
 use crate::memory::counters::Counters;
 use crate::memory::exchanges::Exchanges;
@@ -35,11 +35,12 @@
 use crate::process::clock;
 use elmtide_budgets::Priority;
 
+/// Owns the routers and all state that their decisions need.
 pub struct Engine<U> {
-    /// One, or one for each cell behind it.
+    /// The first router, followed by those created for reloads or for cells and shards.
     routers: Vec<Router>,
     cells: Option<Box<CellRouting>>,
-    /// Of the routers that there are, while there are no cells.
+    /// Names of the existing routers; kept here while cells are off.
     router_names: Vec<String>,
     endpoints: EndpointSet,
     settings: Settings,
@@ -47,40 +48,42 @@
     upstream: U,
     exchanges: Exchanges,
     timers: TimerQueue,
-    /// Ends of attempts that were found here and not by a connection.
-    ended: VecDeque<(AttemptKey, Outcome)>,
-    unreached: VecDeque<MemberId>,
-    /// What the resolver found last: a whole list of the bus leaves it out.
-    resolved: Option<(MembersNews, Event)>,
-    /// Where the bus says that nodes drain, by whatever name they are listed besides.
+    /// Attempts that the engine ended itself, not a connection; processed after each input.
+    ended_attempts: VecDeque<(AttemptKey, Outcome)>,
+    /// Members to probe whose address is unknown: reported to the routers as connect failures.
+    unreachable_probes: VecDeque<MemberId>,
+    /// The resolver's latest result, applied again after a full list of the bus, which does not contain it.
+    last_resolved: Option<(MembersUpdate, Event)>,
+    /// Addresses that the bus reports as draining; they override the resolver, whatever name it lists them under.
     announced: Announced,
-    /// Members whose last attempts failed, for the figures.
+    /// Members whose last attempts failed, for the metrics.
     failing: Failing,
     actions: Vec<Action>,
     counters: Arc<Counters>,
-    wait_ms: Option<u64>,
+    /// The longest retry-after time sent to rejected clients; `None` where none is sent.
+    max_retry_after_ms: Option<u64>,
     now: Ms,
-    /// The router that new requests go to while there are no cells.
-    current: usize,
-    /// The last purges, for a router that is built after them.
+    /// Index of the router that takes new requests while cells are off.
+    current_router: usize,
+    /// The most recent purges, replayed to routers created after them.
     purges: VecDeque<(Option<ObjectId>, PurgeGroup, Ms)>,
-    /// The name of each class of `settings`: ids are never taken back, so that open requests keep their rules.
+    /// The name of each class of `settings`. Ids are never reused, so that open requests keep their rules.
     class_names: Vec<Arc<str>>,
-    /// Clients are sent away, since this front's machine goes.
-    sent_away: bool,
-    /// Budgets that belong to all fronts, where there is a fleet.
+    /// Clients are sent to other fronts, since this front's machine goes into maintenance.
+    sends_clients_away: bool,
+    /// Budgets shared by all fronts, where a fleet is configured.
     budgets: Option<Box<BudgetClient>>,
-    /// Machines that are taken out for work, where the fleet's file has any.
+    /// Machines under maintenance, where the fleet's file lists machines.
     maintenance: Option<Box<MaintenanceClient>>,
 }
 
-/// Purges that a router built after them is told at most.
+/// The most purges that are replayed to a router created after them.
 const MAX_REMEMBERED_PURGES: usize = 4096;
-/// Classes that the engine knows at most, over all reloads; routers at most.
+/// The most classes over all reloads, and the most routers kept for reloads.
 const MAX_CLASSES: usize = 1024;
 const MAX_ROUTERS: usize = 16;
 
-/// The priority of requests that must not run twice, or of writes; all others are low.
+/// High priority is for requests that must not run twice and for writes; all others are low.
 fn priority_if(is_high: bool) -> Priority {
     if is_high {
         Priority::High
@@ -89,16 +92,17 @@
     }
 }
 
-/// The longest wait that may be told to those who are refused.
-fn longest_wait(settings: &Settings) -> Option<u64> {
+/// The longest retry-after time for rejected clients; `None` where the settings turn it off.
+fn configured_max_retry_after(settings: &Settings) -> Option<u64> {
     settings.max_retry_after.filter(|_| settings.retry_after).map(|ms| ms as u64)
 }
 
 impl<U: Upstream> Engine<U> {
+    /// Creates an engine with one router and no endpoints.
     pub fn new(settings: Settings, seed: u64, upstream: U, counters: Arc<Counters>) -> Engine<U> {
         let now = clock::steady_ms();
         let mut actions = Vec::new();
-        let wait_ms = longest_wait(&settings);
+        let max_retry_after_ms = configured_max_retry_after(&settings);
         let router = Router::new(settings.clone(), seed, now, &mut actions);
         let mut timers = TimerQueue::default();
         timers.schedule(now + SWEEP_INTERVAL_MS, Timer::Sweep);
@@ -113,31 +117,31 @@
             upstream,
             exchanges: Exchanges::default(),
             timers,
-            ended: VecDeque::new(),
-            unreached: VecDeque::new(),
-            resolved: None,
+            ended_attempts: VecDeque::new(),
+            unreachable_probes: VecDeque::new(),
+            last_resolved: None,
             announced: Announced::default(),
             failing: Failing::default(),
             actions,
             counters,
-            wait_ms,
+            max_retry_after_ms,
             now,
-            current: 0,
+            current_router: 0,
             purges: VecDeque::new(),
             class_names: Vec::new(),
-            sent_away: false,
+            sends_clients_away: false,
             budgets: None,
             maintenance: None,
         }
     }
 
-    /// Keeps off machines that are out for work.
+    /// Excludes machines under maintenance from new work.
     pub fn with_maintenance(mut self, maintenance: Option<Box<MaintenanceClient>>) -> Engine<U> {
         self.maintenance = maintenance;
         self
     }
 
-    /// Spends by its part of what belongs to all fronts.
+    /// Draws on this front's quotas of the budgets shared by all fronts.
     pub fn with_budgets(mut self, budgets: Option<Box<BudgetClient>>) -> Engine<U> {
         if budgets.is_some() {
             self.timers.schedule(self.now + FLEET_REPORT_INTERVAL_MS, Timer::FleetReport);
@@ -146,13 +150,13 @@
         self
     }
 
-    /// The names of the classes of the settings, in their order.
+    /// Sets the names of the settings' classes, in the order of the settings.
     pub fn with_class_names(mut self, names: Vec<Arc<str>>) -> Engine<U> {
         self.class_names = names;
         self
     }
 
-    /// Runs until it is told to stop.
+    /// Handles inputs and timers until `Input::Stop` arrives or the channel closes.
     pub fn run(mut self, inputs: &Receiver<Input>) {
         loop {
             let wait = self.timers.time_until_next(clock::steady_ms());
@@ -165,7 +169,7 @@
         }
     }
 
-    /// The module's time never goes back.
+    /// Reads the clocks. The decision module's time never goes back.
     fn update_clock(&mut self) {
         let Some(budgets) = &mut self.budgets else {
             self.now = clock::steady_ms().max(self.now);
@@ -175,39 +179,42 @@
         self.now = clock::steady_ms().max(self.now);
         budgets.set_time(now);
         if let Some(maintenance) = &mut self.maintenance {
-            maintenance.at(now);
+            maintenance.set_time(now);
         }
     }
 
+    /// Handles one input and all attempts that ended because of it.
     pub fn handle(&mut self, input: Input) {
         self.update_clock();
         match input {
-            Input::Taken(incoming) => self.admit(incoming),
+            Input::Request(incoming) => self.admit(incoming),
             Input::Reconfigure(reconfiguration) => {
                 let Reconfiguration { settings, classes, done } = *reconfiguration;
                 done(self.reconfigure(settings, classes));
             }
             Input::Abandoned(id) => self.abandon_request(id),
-            Input::Unwanted(id) => self.reject_if_unsent(id),
-            Input::Returned { key, returned } => match returned {
-                Returned::Broke(progress) => {
-                    self.finish_attempt(key, progress.broken(), elmtide::Note::Absent, None)
+            Input::NoWaiters(id) => self.reject_if_unsent(id),
+            Input::AttemptEnded { key, end } => match end {
+                AttemptEnd::ConnectionFailed(progress) => {
+                    self.finish_attempt(key, progress.outcome_if_broken(), elmtide::Note::Absent, None)
                 }
-                Returned::NotSent => self.finish_attempt(key, Outcome::Moot, elmtide::Note::Absent, None),
-                Returned::Abandoned(progress) => {
+                AttemptEnd::NotSent => self.finish_attempt(key, Outcome::Moot, elmtide::Note::Absent, None),
+                AttemptEnd::Abandoned(progress) => {
                     let outcome = self.outcome_of_abandoned(progress);
                     self.finish_attempt(key, outcome, elmtide::Note::Absent, None)
                 }
-                Returned::Answered { outcome, note, copy } => self.finish_attempt(key, outcome, note, copy),
+                AttemptEnd::Answered { outcome, note, copy } => self.finish_attempt(key, outcome, note, copy),
             },
             Input::Probed { member, outcome, latency } => {
                 self.failing.heard(member, outcome);
                 self.dispatch_to_all(&Event::Probed { member, outcome, latency })
             }
-            Input::Listed { from: ListSource::Bus, news, event } => self.apply_bus_endpoints(&news, event),
-            Input::Listed { from: ListSource::Resolver, news, event } => {
-                self.resolved = Some((news.clone(), event.clone()));
-                self.apply_resolved_endpoints(&news, event);
+            Input::MembersListed { from: ListSource::Bus, members_update, event } => {
+                self.apply_bus_endpoints(&members_update, event)
+            }
+            Input::MembersListed { from: ListSource::Resolver, members_update, event } => {
+                self.last_resolved = Some((members_update.clone(), event.clone()));
+                self.apply_resolved_endpoints(&members_update, event);
                 self.withdraw_from_unavailable();
             }
             Input::Purged { object, group, at } => self.apply_purge(object, group, at),
--- a/front/src/engine/timers.rs
+++ b/front/src/engine/timers.rs
@@ -1,4 +1,4 @@
-//! The engine's timers: what is due at which moment, and what happens then.
+//! The engine's timers: when each is due and what it does.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -10,21 +10,21 @@
 use super::Engine;
 use crate::exchange::{AttemptKey, Progress, Upstream};
 
-/// How often idle connections are closed and the gauges are updated.
+/// Interval at which idle connections are closed and gauges are updated.
 pub(super) const SWEEP_INTERVAL_MS: Ms = 1000.0;
-/// How often cells look at their queues and at tenants that move.
+/// Interval at which cells advance their queues and the moves of shops.
 pub(super) const CELL_INTERVAL_MS: Ms = 50.0;
-/// How often connections that owe answers are checked.
+/// Interval at which connections with unanswered attempts are checked.
 pub(super) const CONNECTION_CHECK_INTERVAL_MS: Ms = 100.0;
-/// How often the fleet's thread is told the demand.
+/// Interval at which the fleet's thread gets a report.
 pub(super) const FLEET_REPORT_INTERVAL_MS: Ms = 100.0;
-/// The longest wait for an input: the wall clock may be set while the engine waits.
+/// The longest wait for an input. It is limited because the wall clock may be set while the engine waits.
 const MAX_WAIT_MICROS: u64 = 1_000_000;
 
 /// What happens when a timer is due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
-    /// A router's own timer: the router's place and its token.
+    /// A router's timer: the router's index and the timer's token.
     Router(usize, u64),
     /// An attempt's timeout: request and attempt.
     Attempt(u32, u8),
@@ -32,7 +32,7 @@
     Deadline(u32),
     /// A request should have been written to a server by now.
     Unsent(u32),
-    /// Check the connections that owe answers.
+    /// Check connections with unanswered attempts.
     ConnectionCheck,
     /// Close idle connections and update the gauges.
     Sweep,
@@ -90,7 +90,7 @@
             Timer::Router(router, token) => self.dispatch(router, Event::Timer { token: Token(token) }),
             Timer::Attempt(id, attempt) => {
                 let key = AttemptKey { id: RequestId(id), attempt: Try(attempt) };
-                self.abandon_attempt(key, Progress::timed_out);
+                self.abandon_attempt(key, Progress::outcome_if_timed_out);
             }
             Timer::Deadline(id) => self.fail_past_deadline(RequestId(id)),
             Timer::Unsent(id) => self.reject_if_unsent(RequestId(id)),
@@ -101,7 +101,7 @@
                 self.timers.schedule(self.now + FLEET_REPORT_INTERVAL_MS, Timer::FleetReport);
             }
             Timer::ConnectionCheck => {
-                self.upstream.look();
+                self.upstream.check_connections();
                 self.cut_off_open_requests();
                 self.timers.schedule(self.now + CONNECTION_CHECK_INTERVAL_MS, Timer::ConnectionCheck);
             }
@@ -111,7 +111,7 @@
 
     fn sweep(&mut self) {
         self.update_endpoint_figures();
-        self.upstream.sweep();
+        self.upstream.close_idle();
         self.timers.schedule(self.now + SWEEP_INTERVAL_MS, Timer::Sweep);
         let open = self.exchanges.unanswered() as u64;
         self.counters.open.store(open, Relaxed);
--- a/front/src/exchange.rs
+++ b/front/src/exchange.rs
@@ -1,6 +1,6 @@
-//! The exchange: the one place where the side that takes requests in and the side that sends them on meet.
-//! Neither knows the other; both know these types. An exchange has an identity, an absolute deadline, the
-//! attempts that are out and exactly one final answer.
+//! The types shared by the server side, which receives requests, and the client side, which sends them upstream.
+//! Neither side knows the other. An exchange has an identity, an absolute deadline, the attempts in flight and
+//! exactly one final answer.
 
 use std::fmt;
 use std::sync::Arc;
@@ -12,58 +12,61 @@
 
 use elmtide::{ClassId, FillMode, MemberId, Ms, Note, ObjectId, Outcome, PurgeGroup, RequestId, Try};
 
-/// A word of at most 64 letters, digits, `-`, `_` and `.`: it can stand in a line of words as it came.
+/// A token of 1 to 64 letters, digits, `-`, `_` and `.`, which needs no escaping in a line of words.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Token(Box<str>);
 
 impl Token {
+    /// Creates a token; `None` if the bytes are not a valid one.
     pub fn new(bytes: &[u8]) -> Option<Token> {
-        let plain = |b: &u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
-        let fits = (1..=64).contains(&bytes.len()) && bytes.iter().all(plain);
+        let is_allowed = |b: &u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
+        let fits = (1..=64).contains(&bytes.len()) && bytes.iter().all(is_allowed);
         let text = std::str::from_utf8(bytes).ok().filter(|_| fits)?;
         Some(Token(text.into()))
     }
 
+    /// The token as text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
 }
 
-/// A class of requests, as the settings have it.
+/// A class of requests, as configured.
 #[derive(Clone, Debug)]
 pub struct Class {
     pub name: Arc<str>,
     pub id: ClassId,
     pub write: bool,
-    /// It must not run twice.
+    /// Requests must not run twice.
     pub once: bool,
-    /// Cache nodes know a repeat of it by its key.
+    /// Cache nodes recognise a repeat by its idempotency key.
     pub keyed: bool,
     pub deadline: Ms,
 }
 
-/// What goes on unchanged, as the bytes that came.
+/// The parts of a request that are forwarded unchanged, with the resources that the request holds.
 #[derive(Debug)]
-pub struct Passed {
+pub struct ForwardedRequest {
     pub job: Token,
     pub class_name: Arc<str>,
     pub item: Token,
     pub part: Token,
-    pub seen: Option<Token>,
-    /// By what cache nodes know a repeat of it, where its client has said so.
-    pub unique: Option<Token>,
+    /// The digest of the copy that the client already has.
+    pub client_digest: Option<Token>,
+    /// The key by which cache nodes recognise a repeat, if the client sent one.
+    pub idempotency_key: Option<Token>,
     pub body: Vec<u8>,
-    /// It must not run twice.
+    /// The request must not run twice.
     pub once: bool,
-    /// It is never kept: it has to be run at its source, and is no fill.
+    /// Never cached: it must run at its source and does not count as a fill.
     pub write: bool,
-    /// What the request holds of the bytes allowed to all.
+    /// The request's share of the memory budget of all requests.
     pub _held: Held,
-    /// The counts of its class.
+    /// The counters of its class.
     pub tally: Arc<ClassTally>,
 }
 
-/// A request that has come whole, with the fields that decisions need.
+/// A completely received request, with the fields that routing decisions need.
 #[derive(Debug)]
 pub struct Incoming {
     pub id: RequestId,
@@ -72,58 +75,59 @@
     pub part: u32,
     pub group: PurgeGroup,
     pub size_kb: Option<f64>,
-    /// Whom it is for.
+    /// The shop (tenant) that it belongs to.
     pub shop: ShopId,
-    /// Unix time at which the client gives up.
+    /// Unix time at which the client stops waiting.
     pub deadline: Ms,
-    pub passed: Arc<Passed>,
+    pub forwarded: Arc<ForwardedRequest>,
     pub responder: Responder,
 }
 
 /// The one final answer of an exchange.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Answer {
-    Served(Copy),
-    /// Nothing ran, or trying again does no harm; the client may come back after so many milliseconds.
+    Served(ServedCopy),
+    /// Nothing ran, or a retry is harmless; the client may retry after this many milliseconds.
     Refused {
         wait_ms: Option<u64>,
     },
     Failed,
 }
 
-/// What a cache node answered with.
+/// The copy that a cache node answered with.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Copy {
+pub struct ServedCopy {
     pub bytes: Vec<u8>,
-    /// The tag of this copy.
+    /// The digest of this copy.
     pub digest: Option<Token>,
-    /// The copy that the client has is the one: there are no bytes.
+    /// The client already has this copy, so `bytes` is empty.
     pub client_has_it: bool,
 }
 
-type Sink = Box<dyn FnOnce(Answer) + Send>;
+type AnswerSink = Box<dyn FnOnce(Answer) + Send>;
 
-/// Takes the final answer to whoever asked. It is used up by answering, so there is never a second one; dropped
-/// without one, it answers 'failed', so there is always a first. Where it is counted, the answer is counted here.
-pub struct Responder(Option<Sink>, Option<InFlight>);
+/// Delivers the final answer to the client's side. Answering consumes the responder, so there is never a second answer;
+/// dropping it answers `Failed`, so there is always one. The answer is counted here if counting is on.
+pub struct Responder(Option<AnswerSink>, Option<InFlight>);
 
 impl Responder {
-    /// The sink is called by the engine: it may not block.
+    /// Creates a responder. The engine calls `sink`, so it must not block.
     pub fn new(sink: impl FnOnce(Answer) + Send + 'static) -> Responder {
         Responder(Some(Box::new(sink)), None)
     }
 
-    /// Counts its answer, and is in flight until then.
+    /// Counts the request as in flight until its answer, and counts the answer.
     pub fn counted(mut self, flight: InFlight) -> Responder {
         self.1 = Some(flight);
         self
     }
 
+    /// Delivers the answer.
     pub fn answer(mut self, answer: Answer) {
-        self.give(answer);
+        self.send_answer(answer);
     }
 
-    /// The client has left: no answer is owed.
+    /// Drops the responder without an answer, since the client has left.
     pub fn discard(mut self) {
         self.0 = None;
         if let Some(flight) = self.1.take() {
@@ -131,7 +135,7 @@
         }
     }
 
-    fn give(&mut self, answer: Answer) {
+    fn send_answer(&mut self, answer: Answer) {
         if let Some(sink) = self.0.take() {
             let ended = match &answer {
                 Answer::Served(_) => Ended::Served,
@@ -154,51 +158,53 @@
 
 impl Drop for Responder {
     fn drop(&mut self) {
-        self.give(Answer::Failed);
+        self.send_answer(Answer::Failed);
     }
 }
 
-/// Names one attempt of one exchange.
+/// Identifies one attempt of one exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct AttemptKey {
     pub id: RequestId,
     pub attempt: Try,
 }
 
-/// What the client side is to send, and to whom.
+/// An attempt that the client side is to send.
 #[derive(Debug)]
-pub struct Order {
+pub struct AttemptOrder {
     pub key: AttemptKey,
-    pub passed: Arc<Passed>,
+    pub forwarded: Arc<ForwardedRequest>,
     pub cache: MemberId,
-    /// Who supplies a miss; none for no fill.
+    /// The member that supplies a miss; `None` if no fill is allowed.
     pub source: Option<MemberId>,
     pub rank: u8,
     pub max_age: Option<Ms>,
     pub mode: FillMode,
     pub timeout: Ms,
-    /// Unix time after which it is not begun to be written: what an earlier attempt did may be forgotten by then.
+    /// Unix time after which writing must not begin: by then the node may have forgotten the idempotency key of an
+    /// earlier attempt.
     pub write_by: Option<Ms>,
-    /// It may not simply be repeated.
+    /// The request is not safe to repeat.
     pub guarded: bool,
 }
 
-/// How far an attempt had come when its connection failed it: this decides whether a write may be sent again.
+/// How far an attempt had come when its connection failed. This decides whether a write may be sent again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
     NotConnected,
     PartlyWritten,
-    Whole,
-    PartOfAnswer,
+    FullyWritten,
+    PartlyAnswered,
 }
 
 impl Progress {
-    /// What is not written whole can't have run: a cache node acts on whole requests only.
+    /// Whether the attempt may have run: a cache node acts only on a request that it has received completely.
     pub fn may_have_run(self) -> bool {
-        matches!(self, Progress::Whole | Progress::PartOfAnswer)
+        matches!(self, Progress::FullyWritten | Progress::PartlyAnswered)
     }
 
-    pub fn broken(self) -> Outcome {
+    /// The outcome if the connection broke.
+    pub fn outcome_if_broken(self) -> Outcome {
         if self.may_have_run() {
             Outcome::Reset
         } else {
@@ -206,7 +212,8 @@
         }
     }
 
-    pub fn timed_out(self) -> Outcome {
+    /// The outcome if the attempt timed out.
+    pub fn outcome_if_timed_out(self) -> Outcome {
         if self.may_have_run() {
             Outcome::Timeout
         } else {
@@ -215,36 +222,36 @@
     }
 }
 
-/// How an attempt came back.
+/// How an attempt ended.
 #[derive(Debug)]
-pub enum Returned {
+pub enum AttemptEnd {
     Answered {
         outcome: Outcome,
         note: Note,
-        copy: Option<Copy>,
+        copy: Option<ServedCopy>,
     },
-    /// Its connection was ended by the other side, or could not be used.
-    Broke(Progress),
-    /// This machine was short of something: nothing was written, and it says nothing of the server.
+    /// The peer closed the connection, or it could not be used.
+    ConnectionFailed(Progress),
+    /// This machine lacked a resource: nothing was written, and it says nothing about the server.
     NotSent,
-    /// Its connection was closed by this side over the server's silence: where the server hangs or is cut off it has not heard
-    /// of that, and may still work on it.
+    /// This side closed the connection because the server was silent. A server that hangs or is cut off does not
+    /// notice, and may still process the request.
     Abandoned(Progress),
 }
 
 /// Why nothing was sent to a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SendError {
-    /// No address of it is known.
+    /// The member's address is unknown.
     #[error("no address of the server is known")]
     NoAddress,
-    /// This process has no room for another connection, or can't get a thread for it. It says nothing of the member.
+    /// This process can't open another connection or start a thread for it. It says nothing about the member.
     #[error("this process can't open another connection")]
     NoConnection,
 }
 
 impl SendError {
-    /// How an attempt ends that was not sent.
+    /// The outcome of an attempt that was not sent.
     pub fn outcome(self) -> Outcome {
         match self {
             SendError::NoAddress => Outcome::ConnectFailed,
@@ -253,39 +260,41 @@
     }
 }
 
-/// The client side as the engine sees it. No call may block.
+/// The engine's interface to the client side. No call may block.
 pub trait Upstream {
-    /// Sends an attempt; its end comes back as an event, unless there is no way to send it at all.
-    fn send(&mut self, order: &Order) -> Result<(), SendError>;
-    /// The attempt has come back.
-    fn ended(&mut self, key: AttemptKey);
-    /// Gives an attempt up and tells how far it had come; `None` if its end is on the way already.
-    fn give_up(&mut self, key: AttemptKey) -> Option<Progress>;
-    /// Takes an attempt back of which nothing has been written, nor will be; false if that is not so. It ends by this.
+    /// Sends an attempt. Its end arrives as an input, unless an error is returned.
+    fn send(&mut self, order: &AttemptOrder) -> Result<(), SendError>;
+    /// Releases what is kept for an ended attempt.
+    fn attempt_ended(&mut self, key: AttemptKey);
+    /// Abandons an attempt and returns how far it had come; `None` if its end is already queued.
+    fn abandon(&mut self, key: AttemptKey) -> Option<Progress>;
+    /// Withdraws an attempt of which nothing has been written, which ends it; false if that is not possible.
     fn withdraw(&mut self, key: AttemptKey) -> bool;
-    /// Takes back all attempts of which nothing has been written and that such a member would serve or fill.
+    /// Withdraws all unwritten attempts that a lost member would serve or fill.
     fn withdraw_from(&mut self, lost: &dyn Fn(MemberId) -> bool) -> Vec<AttemptKey>;
-    /// Whether an attempt that is out has been written whole.
+    /// Whether an attempt in flight has been fully written.
     fn may_have_run(&self, key: AttemptKey) -> bool;
-    /// Asks a member whether it is there; what comes of that comes back as an event.
+    /// Probes whether a member responds; the result arrives as an input.
     fn probe(&mut self, member: MemberId) -> Result<(), SendError>;
-    fn learn(&mut self, news: &MembersNews);
-    /// Ends connections that owe answers and are of no further use.
-    fn look(&mut self);
-    /// Closes what has been idle for long.
-    fn sweep(&mut self);
+    /// Applies an update of the members' addresses and start times.
+    fn update_members(&mut self, members_update: &MembersUpdate);
+    /// Checks connections with unanswered attempts, and closes those that are of no further use.
+    fn check_connections(&mut self);
+    /// Closes connections that have been idle for long.
+    fn close_idle(&mut self);
 }
 
-/// Where the members of a list are to be found.
+/// The addresses of listed members.
 #[derive(Clone, Debug, Default)]
-pub struct MembersNews {
-    /// Members that are not named have gone.
+pub struct MembersUpdate {
+    /// Members that are not included are gone.
     pub full: bool,
-    pub members: Vec<MemberNews>,
+    pub members: Vec<MemberUpdate>,
 }
 
+/// One member of a `MembersUpdate`.
 #[derive(Clone, Debug)]
-pub struct MemberNews {
+pub struct MemberUpdate {
     pub member: MemberId,
     pub name: Arc<str>,
     pub addr: Option<std::net::SocketAddr>,
@@ -293,19 +302,19 @@
     pub gone: bool,
 }
 
-/// Who names members. A whole list of the bus says nothing of those that the resolver has found.
+/// Where a list comes from. A full list of the bus does not include the members that the resolver found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListSource {
     Bus,
     Resolver,
 }
 
-/// Settings that a reload brings.
+/// New settings from a reload.
 pub struct Reconfiguration {
     pub settings: elmtide::Settings,
-    /// The file's classes, with their places in its settings as ids.
+    /// The file's classes; the id of each is its index in the file's settings.
     pub classes: Vec<Class>,
-    /// Takes the classes with the engine's ids, once a router decides by them.
+    /// Called with the classes under the engine's ids, once a router uses them.
     pub done: Box<dyn FnOnce(Result<Vec<Class>, String>) + Send>,
 }
 
@@ -315,41 +324,42 @@
     }
 }
 
-/// What comes in at the engine.
+/// An input of the engine.
 #[derive(Debug)]
 pub enum Input {
-    Taken(Incoming),
-    /// New settings at SIGHUP: the classes of the file, and who takes the table of names and ids.
+    Request(Incoming),
+    /// New settings at SIGHUP.
     Reconfigure(Box<Reconfiguration>),
     /// The client has stopped waiting.
     Abandoned(RequestId),
-    /// Nobody waits for it any more, but its outcome is kept: if none of it has been sent on, it is refused, else it goes on.
-    Unwanted(RequestId),
-    Returned {
+    /// No client waits for the request any more, but its outcome is stored. It is rejected if it has not been sent
+    /// on, and continues otherwise.
+    NoWaiters(RequestId),
+    AttemptEnded {
         key: AttemptKey,
-        returned: Returned,
+        end: AttemptEnd,
     },
     Probed {
         member: MemberId,
         outcome: Outcome,
         latency: Ms,
     },
-    Listed {
+    MembersListed {
         from: ListSource,
-        news: MembersNews,
+        members_update: MembersUpdate,
         event: elmtide::Event,
     },
-    /// Made at this Unix time.
+    /// A purge made at the Unix time `at`.
     Purged {
         object: Option<ObjectId>,
         group: PurgeGroup,
         at: Ms,
     },
-    /// Other cells from here on; none for one list and one budget again.
+    /// A new layout of cells; `None` returns to one list and one budget.
     Cells(Option<Box<Layout>>),
-    /// A move is taken back.
+    /// Undoes the move of a shop.
     UndoMove(ShopId),
-    /// News of budgets that belong to all fronts.
+    /// An update from the fleet's thread.
     Fleet(FleetUpdate),
     Stop,
 }
--- a/front/src/fleet_link.rs
+++ b/front/src/fleet_link.rs
@@ -1,4 +1,4 @@
-//! What the engine and the fleet's thread tell each other. Neither waits for the other.
+//! Messages between the engine and the fleet's thread. Neither waits for the other.
 
 use std::net::{SocketAddr, UdpSocket};
 
@@ -6,41 +6,41 @@
 use elmtide_budgets::ledger::LocalQuota;
 use elmtide_budgets::{BudgetId, Demand, Epoch, Grant, GuaranteedMinimums, Micros};
 
-/// What the fleet's thread tells the engine.
+/// An update from the fleet's thread to the engine.
 #[derive(Debug)]
 pub enum FleetUpdate {
-    /// A lease, with all the quotas that it is for.
+    /// A lease with all its quotas.
     Grant(Grant),
-    /// Guaranteed minimums that the store has.
+    /// The guaranteed minimums from the store.
     Minimums(GuaranteedMinimums),
-    /// Which machines are in maintenance, with the lease on that.
+    /// The machines under maintenance, with the lease on that view.
     Maintenance(elmtide_maintenance::LeasedMaintenanceView),
-    /// Whatever was held was another incarnation's.
+    /// All quotas held belong to another incarnation of this front and are void.
     Reset,
-    /// Spend no leased quota any more, then confirm it.
+    /// Stop spending leased quotas, then confirm it.
     Close(Sender<()>),
 }
 
-/// What the engine tells the fleet's thread.
+/// A report from the engine to the fleet's thread.
 #[derive(Clone, Debug, Default)]
 pub struct EngineReport {
-    /// It uses no more than the quotas of this epoch; `None` while more requests run than that.
+    /// The engine stays within the quotas of this epoch; `None` while more requests run than they allow.
     pub quota_epoch: Option<Epoch>,
-    /// It uses the minimums of this epoch.
+    /// The epoch of the guaranteed minimums in use.
     pub minimums_epoch: Epoch,
-    /// What it needs.
+    /// The demand on each budget.
     pub demands: Vec<(BudgetId, Demand)>,
     /// When the lease expires, by the monotonic clock.
     pub lease_expiry: Option<Micros>,
     /// The quotas in force.
     pub quotas: Vec<LocalQuota>,
-    /// On machines in maintenance; `None` where that is off.
+    /// The report on machines under maintenance; `None` where maintenance is off.
     pub maintenance: Option<elmtide_maintenance::MaintenanceReport>,
-    /// On this front's own site.
+    /// The state of this front's own site.
     pub own_site: OwnSiteState,
 }
 
-/// How this front's own site does.
+/// The state of this front's own site.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OwnSiteState {
     /// None of its cache nodes is in slow start.
@@ -65,7 +65,7 @@
         Ok(Waker { socket: socket.try_clone()?, address })
     }
 
-    /// Wakes it.
+    /// Sends the wake-up datagram; errors are ignored.
     pub fn wake(&self) {
         let _ = self.socket.send_to(&[], self.address);
     }
--- a/front/src/lifecycle/handover/tests.rs
+++ b/front/src/lifecycle/handover/tests.rs
@@ -3,7 +3,7 @@
 use proptest::prelude::*;
 
 use super::*;
-use crate::exchange::{Answer, Copy, Token};
+use crate::exchange::{Answer, ServedCopy, Token};
 use crate::memory::ledger::Entered;
 use crate::memory::longest::Longest;
 
@@ -51,7 +51,7 @@
 
 fn sign_up(ledger: &Ledger, n: u64) {
     assert!(matches!(ledger.enter(&key(n), ledger.print(&"a"), clock::steady_ms()), Entered::Run(_)));
-    let copy = Copy { bytes: vec![b'x'; 64], digest: None, client_has_it: false };
+    let copy = ServedCopy { bytes: vec![b'x'; 64], digest: None, client_has_it: false };
     ledger.finish(&key(n), Answer::Served(copy), clock::steady_ms());
 }
 
--- a/front/src/main.rs
+++ b/front/src/main.rs
@@ -1,4 +1,4 @@
-//! elmtide: a front for cache nodes on real sockets, with every decision left to the library of that name.
+//! elmtide: a front for cache nodes. This program does the I/O; the library of the same name decides.
 
 #![expect(unreachable_pub, reason = "not all items have their narrowest visibility yet: see docs/ROADMAP.md")]
 
@@ -53,8 +53,8 @@
   elmtide version
 ";
 
-/// Ends of `plan` beside that of an error.
-const CHANGE: u8 = 2;
+/// Exit code of `plan` if there are changes.
+const EXIT_PLAN_HAS_CHANGES: u8 = 2;
 
 fn main() -> ExitCode {
     let mut args = pico_args::Arguments::from_env();
@@ -74,32 +74,32 @@
 fn command(mut args: pico_args::Arguments) -> Result<ExitCode, String> {
     let command = args.subcommand().map_err(|e| e.to_string())?;
     let json = args.contains("--json");
-    let text = |args: &mut pico_args::Arguments, key| {
+    let string_option = |args: &mut pico_args::Arguments, key| {
         args.opt_value_from_str::<_, String>(key).map_err(|e| e.to_string())
     };
-    let reason = text(&mut args, "--reason")?.unwrap_or_default();
-    let minutes = text(&mut args, "--minutes")?.map_or(Ok(0), |m| m.parse::<u32>());
-    let minutes = minutes.map_err(|_| "--minutes: a whole number is wanted")?;
+    let reason = string_option(&mut args, "--reason")?.unwrap_or_default();
+    let minutes = string_option(&mut args, "--minutes")?.map_or(Ok(0), |m| m.parse::<u32>());
+    let minutes = minutes.map_err(|_| "--minutes must be a whole number")?;
     let mut option = |key| {
         let read = |s: &OsStr| Ok::<_, String>(PathBuf::from(s));
         args.opt_value_from_os_str(key, read).map_err(|e| e.to_string())
     };
-    let (config, named_edge) = (option("--config")?, option("--edge")?);
+    let (config, edge_option) = (option("--config")?, option("--edge")?);
     let (control, out, cells) = (option("--control")?, option("--out")?, option("--cells")?);
     let fleet = option("--fleet")?.unwrap_or_else(|| fleet::config::FILE.into());
     let mut rest = args.finish();
-    let file = named_edge.unwrap_or_else(|| edge::config::FILE.into());
+    let file = edge_option.unwrap_or_else(|| edge::config::FILE.into());
     let cells = cells.unwrap_or_else(|| edge::cells::FILE.into());
     let name = std::env::var("LB_NAME").unwrap_or_else(|_| "front".into());
-    let path = || control.clone().unwrap_or_else(|| lifecycle::control::usual_path(&name));
-    let takes_one = matches!(command.as_deref(), Some("apply" | "undo-move"));
-    let forget = command.as_deref() == Some("fleet") && rest.first().is_some_and(|word| word == "forget");
-    let forgotten = if forget && rest.len() == 2 { rest.drain(..).next_back() } else { None };
-    let named = if takes_one { rest.pop() } else { None };
-    let work = matches!(command.as_deref(), Some("work" | "site"));
-    let words = if work { std::mem::take(&mut rest) } else { Vec::new() };
+    let control_path = || control.clone().unwrap_or_else(|| lifecycle::control::usual_path(&name));
+    let takes_operand = matches!(command.as_deref(), Some("apply" | "undo-move"));
+    let is_forget = command.as_deref() == Some("fleet") && rest.first().is_some_and(|word| word == "forget");
+    let front_to_forget = if is_forget && rest.len() == 2 { rest.drain(..).next_back() } else { None };
+    let operand = if takes_operand { rest.pop() } else { None };
+    let takes_words = matches!(command.as_deref(), Some("work" | "site"));
+    let words = if takes_words { std::mem::take(&mut rest) } else { Vec::new() };
     if !rest.is_empty() {
-        return Err(format!("not understood: {rest:?}\n\n{USAGE}"));
+        return Err(format!("unexpected arguments: {rest:?}\n\n{USAGE}"));
     }
     match command.as_deref() {
         Some("serve") => {
@@ -130,30 +130,30 @@
             }
         }
         Some("plan") => {
-            if lifecycle::plan::plan(&file, &cells, &path(), out.as_deref())? {
-                return Ok(ExitCode::from(CHANGE));
+            if lifecycle::plan::plan(&file, &cells, &control_path(), out.as_deref())? {
+                return Ok(ExitCode::from(EXIT_PLAN_HAS_CHANGES));
             }
         }
         Some("apply") => {
-            let plan = named.ok_or("apply needs the file of a plan")?;
-            lifecycle::plan::apply(Path::new(&plan), &path())?;
+            let plan = operand.ok_or("apply needs a plan file")?;
+            lifecycle::plan::apply(Path::new(&plan), &control_path())?;
         }
         Some("undo-move") => {
-            let shop = named.ok_or("undo-move needs the name of a shop")?;
-            lifecycle::plan::undo_move(&shop.to_string_lossy(), &path())?;
+            let shop = operand.ok_or("undo-move needs the name of a shop")?;
+            lifecycle::plan::undo_move(&shop.to_string_lossy(), &control_path())?;
         }
         Some("fleet") => {
             let path =
                 fleet::config::FleetConfig::load(&fleet).map_err(|e| e.to_string())?.operator_socket(&name);
-            if let Some(front) = forgotten {
+            if let Some(front) = front_to_forget {
                 fleet::operator_client::remove_front(&path, &front.to_string_lossy())
                     .map_err(|e| e.to_string())?;
                 return Ok(ExitCode::SUCCESS);
             }
-            let shown = fleet::operator_client::status(&path).map_err(|e| e.to_string())?;
+            let status = fleet::operator_client::status(&path).map_err(|e| e.to_string())?;
             match json {
-                true => println!("{}", serde_json::to_string_pretty(&shown).map_err(|e| e.to_string())?),
-                false => fleet::status_view::print(&shown),
+                true => println!("{}", serde_json::to_string_pretty(&status).map_err(|e| e.to_string())?),
+                false => fleet::status_view::print(&status),
             }
         }
         Some("site") => {
@@ -170,21 +170,21 @@
         Some("work") => {
             let config = fleet::config::FleetConfig::load(&fleet).map_err(|e| e.to_string())?;
             let words = words.iter().map(|w| w.to_string_lossy().into_owned()).collect();
-            let typed = fleet::maintenance_command::MaintenanceArgs { words, reason, minutes, json };
-            if !fleet::maintenance_command::run(&config, &name, &typed)? {
+            let arguments = fleet::maintenance_command::MaintenanceArgs { words, reason, minutes, json };
+            if !fleet::maintenance_command::run(&config, &name, &arguments)? {
                 return Ok(ExitCode::FAILURE);
             }
         }
-        Some("counters") => lifecycle::plan::counters(&path())?,
+        Some("counters") => lifecycle::plan::counters(&control_path())?,
         Some("version") => println!("elmtide {}", env!("CARGO_PKG_VERSION")),
-        Some(other) => return Err(format!("there is no command {other:?}\n\n{USAGE}")),
-        None => return Err(format!("no command\n\n{USAGE}")),
+        Some(other) => return Err(format!("unknown command {other:?}\n\n{USAGE}")),
+        None => return Err(format!("no command given\n\n{USAGE}")),
     }
     Ok(ExitCode::SUCCESS)
 }
 
-fn load(named: Option<PathBuf>) -> Result<Config, String> {
-    let path = named.or_else(|| std::env::var_os("LB_CONFIG").map(Into::into));
+fn load(path_option: Option<PathBuf>) -> Result<Config, String> {
+    let path = path_option.or_else(|| std::env::var_os("LB_CONFIG").map(Into::into));
     let path = path.ok_or("neither --config nor LB_CONFIG names a configuration")?;
     let listen = std::env::var("LB_LISTEN").ok();
     Config::load(&path, listen.as_deref())
--- a/front/src/memory/announced.rs
+++ b/front/src/memory/announced.rs
@@ -6,7 +6,7 @@
 
 use elmtide::{Availability, Event, Ms};
 
-use crate::exchange::MembersNews;
+use crate::exchange::MembersUpdate;
 
 /// After its node has left the list an address is remembered for so long: resolvers hold answers for 30 s.
 const AFTER: Ms = 60_000.0;
@@ -20,7 +20,7 @@
 
 impl Announced {
     /// Takes a list of the bus in; true where it changes what is draining.
-    pub fn heard(&mut self, news: &MembersNews, event: &Event, now: Ms) -> bool {
+    pub fn heard(&mut self, news: &MembersUpdate, event: &Event, now: Ms) -> bool {
         let Event::List { entries, .. } = event else { return false };
         let before: Vec<SocketAddr> = self.draining.keys().copied().collect();
         let listed = |at: &SocketAddr| news.members.iter().any(|m| m.addr == Some(*at) && !m.gone);
@@ -56,7 +56,7 @@
     }
 
     /// A list of the resolver as it holds with what the bus has said.
-    pub fn overrule(&self, news: &MembersNews, event: &mut Event) {
+    pub fn overrule(&self, news: &MembersUpdate, event: &mut Event) {
         let Event::List { entries, .. } = event else { return };
         for entry in entries {
             let at = news.members.iter().find(|m| m.member == entry.member).and_then(|m| m.addr);
@@ -72,10 +72,10 @@
     use elmtide::{CellId, KindId, ListUpdate, Listing, ZoneId};
 
     use super::*;
-    use crate::exchange::MemberNews;
+    use crate::exchange::MemberUpdate;
     use crate::memory::members::member_id;
 
-    fn list(full: bool, nodes: &[(&str, u16, Availability)]) -> (MembersNews, Event) {
+    fn list(full: bool, nodes: &[(&str, u16, Availability)]) -> (MembersUpdate, Event) {
         let listing = |(name, _, availability): &(&str, u16, Availability)| Listing {
             member: member_id(name),
             weight: 1.0,
@@ -85,14 +85,14 @@
             started_at: None,
             availability: *availability,
         };
-        let member = |(name, port, availability): &(&str, u16, Availability)| MemberNews {
+        let member = |(name, port, availability): &(&str, u16, Availability)| MemberUpdate {
             member: member_id(name),
             name: (*name).into(),
             addr: Some(([127, 0, 0, 1], *port).into()),
             started_at: None,
             gone: *availability == Availability::Gone,
         };
-        let news = MembersNews { full, members: nodes.iter().map(member).collect() };
+        let news = MembersUpdate { full, members: nodes.iter().map(member).collect() };
         let kind = if full { ListUpdate::Full } else { ListUpdate::Delta };
         (news, Event::List { update: kind, entries: nodes.iter().map(listing).collect() })
     }
--- a/front/src/memory/exchanges.rs
+++ b/front/src/memory/exchanges.rs
@@ -5,7 +5,7 @@
 
 use elmtide::{ClassId, MemberId, Ms, RequestId, Try};
 
-use crate::exchange::{Answer, Incoming, Passed, Responder, Token};
+use crate::exchange::{Answer, ForwardedRequest, Incoming, Responder, Token};
 
 /// Exchanges held at most; the bytes of their bodies have a budget of their own.
 const MOST: usize = 1024;
@@ -13,7 +13,7 @@
 #[derive(Debug)]
 pub struct Exchange {
     pub deadline: Ms,
-    pub passed: Arc<Passed>,
+    pub forwarded: Arc<ForwardedRequest>,
     pub(crate) responder: Option<Responder>,
     /// For each attempt when it was sent, while it is out.
     pub(crate) attempts: Vec<Option<Ms>>,
@@ -34,12 +34,12 @@
 
 impl Exchange {
     pub fn new(incoming: Incoming) -> Exchange {
-        let Incoming { deadline, passed, responder, class, .. } = incoming;
+        let Incoming { deadline, forwarded, responder, class, .. } = incoming;
         Exchange {
             ran_since: None,
             class,
             deadline,
-            passed,
+            forwarded,
             responder: Some(responder),
             attempts: Vec::new(),
             targets: Vec::new(),
@@ -129,7 +129,7 @@
     /// False where the request's id is that of another that is open: cache nodes could not tell the two apart,
     /// and the answer to one could be given to the other.
     pub fn open(&mut self, incoming: Incoming) -> Result<(), Incoming> {
-        if !self.jobs.insert(incoming.passed.job.clone()) {
+        if !self.jobs.insert(incoming.forwarded.job.clone()) {
             return Err(incoming);
         }
         self.open.insert(incoming.id, Exchange::new(incoming));
@@ -161,7 +161,7 @@
         let over = |e: &Exchange| e.is_answered() && e.attempts.iter().all(Option::is_none);
         if self.open.get(&id).is_some_and(over) {
             if let Some(exchange) = self.open.remove(&id) {
-                self.jobs.remove(&exchange.passed.job);
+                self.jobs.remove(&exchange.forwarded.job);
             }
         }
     }
--- a/front/src/memory/ledger.rs
+++ b/front/src/memory/ledger.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 use siphasher::sip::SipHasher13;
 
-use crate::exchange::{Answer, Copy, Token};
+use crate::exchange::{Answer, ServedCopy, Token};
 use crate::memory::longest::Longest;
 
 /// Bounds: entries, bytes of the results that are kept, and clients that wait for one run.
@@ -249,7 +249,7 @@
                 SealedOutcome::Served { bytes, digest, client_has_it } => {
                     let digest = digest.map(|d| Token::new(d.as_bytes()).ok_or(NotUsed::Foreign));
                     let size = bytes.len();
-                    (Answer::Served(Copy { bytes, digest: digest.transpose()?, client_has_it }), size)
+                    (Answer::Served(ServedCopy { bytes, digest: digest.transpose()?, client_has_it }), size)
                 }
             };
             bytes += size;
--- a/front/src/memory/ledger/tests.rs
+++ b/front/src/memory/ledger/tests.rs
@@ -19,7 +19,7 @@
 }
 
 fn served(size: usize) -> Answer {
-    Answer::Served(Copy { bytes: vec![b'x'; size], digest: Token::new(b"d1"), client_has_it: false })
+    Answer::Served(ServedCopy { bytes: vec![b'x'; size], digest: Token::new(b"d1"), client_has_it: false })
 }
 
 /// A retry must never run again: it joins, or is told the result.
--- a/front/src/memory/members.rs
+++ b/front/src/memory/members.rs
@@ -6,7 +6,7 @@
 
 use elmtide::MemberId;
 
-use crate::exchange::MemberNews;
+use crate::exchange::MemberUpdate;
 
 /// Members remembered at most; those gone longest are forgotten first.
 const MOST: usize = 4096;
@@ -29,7 +29,7 @@
 }
 
 impl Members {
-    pub fn learn(&mut self, news: &MemberNews) {
+    pub fn learn(&mut self, news: &MemberUpdate) {
         if self.0.len() >= MOST && !self.0.contains_key(&news.member) {
             self.0.retain(|_, m| !m.gone);
         }
--- a/front/src/memory/resolved.rs
+++ b/front/src/memory/resolved.rs
@@ -7,7 +7,7 @@
 use elmtide_dns::stub::Endpoint;
 
 use crate::edge::config::Upstream;
-use crate::exchange::{MemberNews, MembersNews};
+use crate::exchange::{MemberUpdate, MembersUpdate};
 use crate::memory::members::member_id;
 
 /// Members remembered; those that drain are forgotten first.
@@ -15,7 +15,7 @@
 
 /// All names' members. The engine is told of all at once, whenever something of them has changed.
 #[derive(Debug, Default)]
-pub struct Resolved(BTreeMap<MemberId, (Listing, MemberNews)>);
+pub struct Resolved(BTreeMap<MemberId, (Listing, MemberUpdate)>);
 
 impl Resolved {
     /// Takes in where a name's members are now; the addresses that are draining from now on, or `None` where nothing
@@ -50,7 +50,7 @@
             let weight = upstream.weight * endpoint.share;
             let listing = Listing { member, weight, zone, kind, cell, started_at, availability };
             let news =
-                MemberNews { member, name: name.into(), addr: Some(endpoint.at), started_at, gone: false };
+                MemberUpdate { member, name: name.into(), addr: Some(endpoint.at), started_at, gone: false };
             let before = self.0.insert(member, (listing, news));
             changed |= before.is_none_or(|(before, _)| before != listing);
         }
@@ -58,8 +58,8 @@
     }
 
     /// All of them, as the engine takes them.
-    pub fn told(&self) -> (MembersNews, Event) {
+    pub fn told(&self) -> (MembersUpdate, Event) {
         let (entries, members) = self.0.values().cloned().unzip();
-        (MembersNews { full: false, members }, Event::List { update: ListUpdate::Delta, entries })
+        (MembersUpdate { full: false, members }, Event::List { update: ListUpdate::Delta, entries })
     }
 }
--- a/front/src/server/http.rs
+++ b/front/src/server/http.rs
@@ -453,7 +453,7 @@
         let answer = self.wait(&result.result, deadline);
         if answer.is_none() {
             if let Some(id) = site.ledger.leave(&key, &result) {
-                let _ = site.intake.inputs.send(Input::Unwanted(id));
+                let _ = site.intake.inputs.send(Input::NoWaiters(id));
             }
         }
         answer.map(|answer| reply(&answer, false))
--- a/front/src/server/mod.rs
+++ b/front/src/server/mod.rs
@@ -19,7 +19,7 @@
 use elmtide::{ClassId, Ms, ObjectId, PurgeGroup, RequestId};
 use elmtide_cells::ShopId;
 
-use crate::exchange::{Class, Incoming, Input, Passed, Responder, Token};
+use crate::exchange::{Class, ForwardedRequest, Incoming, Input, Responder, Token};
 use crate::memory::budget::{Budget, Held};
 use crate::memory::counters::Counters;
 use crate::memory::figures::ClassTally;
@@ -165,8 +165,8 @@
         let allow = fields.allow_ms.read(None, |v| figure(v, 2.0 * class.deadline))?;
         let group = fields.group.read(Some(0), digits::<u8>)?;
         let size_kb = fields.size_kb.read(Some(0.0), |v| figure(v, MOST_KB))?;
-        let seen = fields.seen.read(Some(None), |tag| Token::new(tag).map(Some))?;
-        let unique = fields.unique.read(Some(None), |key| Token::new(key).map(Some))?;
+        let client_digest = fields.seen.read(Some(None), |tag| Token::new(tag).map(Some))?;
+        let idempotency_key = fields.unique.read(Some(None), |key| Token::new(key).map(Some))?;
         let shop = match fields.shop {
             Field::Absent => ShopId::of(""),
             Field::Once(name) => ShopId::of(Token::new(name)?.as_str()),
@@ -175,8 +175,19 @@
         let job = fields.job.read(None, hex)?;
         let (class_name, once, write) = (class.name.clone(), class.once, class.write);
         let tally = tally.clone();
-        let passed =
-            Passed { job, class_name, item, part, seen, unique, body, once, write, _held: held, tally };
+        let forwarded = ForwardedRequest {
+            job,
+            class_name,
+            item,
+            part,
+            client_digest,
+            idempotency_key,
+            body,
+            once,
+            write,
+            _held: held,
+            tally,
+        };
         (allow > 0.0).then(|| Ready {
             class: class.id,
             object: ObjectId(object),
@@ -185,18 +196,18 @@
             size_kb: Some(size_kb).filter(|kb| *kb > 0.0),
             shop,
             deadline: came + allow - ANSWER_BEFORE.min(allow / 10.0),
-            passed: Arc::new(passed),
+            forwarded: Arc::new(forwarded),
         })
     }
 
     /// Hands a request in; the responder answers by itself if the engine is gone.
     pub fn hand_in(&self, ready: Ready, responder: Responder) -> RequestId {
         let id = RequestId(self.next.fetch_add(1, Relaxed));
-        let Ready { class, object, part, group, size_kb, shop, deadline, passed } = ready;
-        let responder = responder.counted(self.counters.figures.taken(passed.tally.clone()));
+        let Ready { class, object, part, group, size_kb, shop, deadline, forwarded } = ready;
+        let responder = responder.counted(self.counters.figures.taken(forwarded.tally.clone()));
         let incoming =
-            Incoming { id, class, object, part, group, size_kb, shop, deadline, passed, responder };
-        let _ = self.inputs.send(Input::Taken(incoming));
+            Incoming { id, class, object, part, group, size_kb, shop, deadline, forwarded, responder };
+        let _ = self.inputs.send(Input::Request(incoming));
         id
     }
 }
@@ -210,5 +221,5 @@
     size_kb: Option<f64>,
     shop: ShopId,
     pub deadline: Ms,
-    passed: Arc<Passed>,
+    forwarded: Arc<ForwardedRequest>,
 }
--- a/front/src/server/sockets/tests.rs
+++ b/front/src/server/sockets/tests.rs
@@ -8,7 +8,7 @@
 use rustix::event::Timespec;
 
 use super::*;
-use crate::exchange::{Answer, Class, Copy, Input, Responder};
+use crate::exchange::{Answer, Class, Input, Responder, ServedCopy};
 use crate::memory::budget::Budget;
 use crate::memory::counters::Counters;
 
@@ -98,7 +98,7 @@
 
     fn taken(&mut self) -> Responder {
         self.until(|front| match front.inputs.try_recv() {
-            Ok(Input::Taken(incoming)) => Some(incoming.responder),
+            Ok(Input::Request(incoming)) => Some(incoming.responder),
             _ => None,
         })
     }
@@ -191,7 +191,7 @@
     client.write_all(&rest).unwrap();
     front.unread(rest.len());
     let bytes = vec![7; 3_000_000];
-    asked.answer(Answer::Served(Copy { bytes, digest: None, client_has_it: false }));
+    asked.answer(Answer::Served(ServedCopy { bytes, digest: None, client_has_it: false }));
     let delivery = front.sockets.deliveries.recv_timeout(PATIENCE).unwrap();
     front.sockets.turn(delivery.connection, |connection| {
         connection.conversation.answer(&delivery);
@@ -250,7 +250,7 @@
     client.write_all(&second).unwrap();
     front.unread(second.len());
     front.until(|front| front.sockets.connections.is_empty().then_some(()));
-    let taken = front.inputs.try_iter().filter(|i| matches!(i, Input::Taken(_))).count();
+    let taken = front.inputs.try_iter().filter(|i| matches!(i, Input::Request(_))).count();
     assert_eq!(taken, 0);
     assert_eq!(client.read(&mut [0]).unwrap(), 0);
     assert_eq!(front.sockets.intake.counters.broken_clients.load(Relaxed), 0, "no fault of the client's");
@@ -437,7 +437,7 @@
     const PROTOCOL_STATUS: usize = 12;
     assert_eq!((end[1], end[PROTOCOL_STATUS]), (3, 2), "END_REQUEST, overloaded");
     assert_eq!(client.read(&mut [0]).expect("an end, not a reset"), 0);
-    let taken = front.inputs.try_iter().filter(|i| matches!(i, Input::Taken(_))).count();
+    let taken = front.inputs.try_iter().filter(|i| matches!(i, Input::Request(_))).count();
     assert_eq!(taken, 0);
 }
 
@@ -480,7 +480,8 @@
         client.write_all(&bytes).unwrap();
     }
     let (first, second, third) = (front.taken(), front.taken(), front.taken());
-    let copy = || Answer::Served(Copy { bytes: vec![7; 8_000_000], digest: None, client_has_it: false });
+    let copy =
+        || Answer::Served(ServedCopy { bytes: vec![7; 8_000_000], digest: None, client_has_it: false });
     first.answer(copy());
     second.answer(copy());
     third.answer(Answer::Refused { wait_ms: None });
@@ -524,7 +525,7 @@
     client.write_all(&request("00000000000000a1", true)).unwrap();
     let responder = front.taken();
     let epoll = front.break_epoll();
-    let copy = Copy { bytes: vec![b'x'; LENGTH], digest: None, client_has_it: false };
+    let copy = ServedCopy { bytes: vec![b'x'; LENGTH], digest: None, client_has_it: false };
     responder.answer(Answer::Served(copy));
     // The thread of the sockets takes the delivery, and can't ask to be told when the socket takes more.
     front.sockets.serve(&[], &mut [0; READ]);
