--- a/core/fleet/src/agreed_state.rs
+++ b/core/fleet/src/agreed_state.rs
@@ -1,4 +1,4 @@
-//! The replicated state of all subsystems together.
+//! The state that the fleet agrees on through the replicated log: the replicated states of all subsystems together.
 
 use std::collections::BTreeMap;
 
@@ -7,39 +7,39 @@
 use elmtide_maintenance::JobId;
 use serde::{Deserialize, Serialize};
 
-/// Most fronts that have ever had a vote.
+/// Maximum number of fronts that have ever had a vote.
 const MAX_VOTERS: usize = 64;
 
-/// One command of the log.
+/// One command of the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AgreedCommand {
-    /// Who may spend how much.
+    /// Changes the budgets' quotas, minimums or holders.
     Budgets(BudgetCommand),
-    /// A front's vote is that of this store.
+    /// Assigns a voter, that is, a store, to a front.
     AssignVoter {
         /// The front.
         front: FrontId,
         /// The id of its store.
         voter: VoterId,
     },
-    /// Machines in maintenance.
+    /// Changes machines in maintenance.
     Maintenance(elmtide_maintenance::MaintenanceCommand),
-    /// Sites that are lost.
+    /// Changes lost and recovering sites.
     Sites(elmtide_sites::SiteCommand),
 }
 
-/// What applying a command gave.
+/// The outcome of applying a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CommandOutcome {
-    /// It was carried out.
+    /// The command was carried out.
     Done,
-    /// A command on budgets did nothing.
+    /// A budgets command was rejected and changed nothing.
     BudgetsRejected(elmtide_budgets::CommandRejected),
-    /// More fronts have had a vote than are accounted for.
+    /// No voter was assigned: as many fronts as supported have already had a vote.
     TooManyVoters,
-    /// Of a command on maintenance: the job, or why it did nothing.
+    /// Outcome of a maintenance command: its job, or why it was rejected.
     Maintenance(Result<JobId, elmtide_maintenance::CommandRejected>),
-    /// Of a command on sites.
+    /// Outcome of a sites command.
     Sites(Result<(), elmtide_sites::CommandRejected>),
 }
 
@@ -53,16 +53,18 @@
     }
 }
 
-/// The state that the log's commands make.
+/// The state that results from applying the log's commands in order.
+///
+/// Snapshots encode the fields by position, see `restore`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AgreedState {
-    /// Who may spend how much.
+    /// Quotas and guaranteed minimums of each front.
     pub budgets: BudgetState,
     /// The store that each voting front votes with.
     pub voters: BTreeMap<FrontId, VoterId>,
     /// Machines in maintenance.
     pub maintenance: elmtide_maintenance::MaintenanceState,
-    /// Sites that are lost.
+    /// Lost and recovering sites.
     pub sites: elmtide_sites::SiteState,
 }
 
@@ -77,7 +79,7 @@
         }
     }
 
-    /// Fronts join and leave for all subsystems at once.
+    /// Passes on fronts that join, leave or are removed to the other subsystems that keep track of them.
     fn update_presence(&mut self, command: &BudgetCommand) {
         match command {
             BudgetCommand::Join { holder } => self.maintenance.on_join(*holder),
@@ -119,7 +121,7 @@
         let (budgets, rest) = postcard::take_from_bytes(bytes).ok()?;
         let (voters, rest) = postcard::take_from_bytes(rest).ok()?;
         let mut state = AgreedState { budgets, voters, ..AgreedState::default() };
-        // Snapshots from before there was maintenance end here, and those from before there were sites after it.
+        // Snapshots of versions without maintenance end here; those of versions without sites end after maintenance.
         if rest.is_empty() {
             return Some(state);
         }
--- a/core/fleet/src/datagram.rs
+++ b/core/fleet/src/datagram.rs
@@ -1,7 +1,8 @@
-//! Datagrams: each names its version, carries the installation's MAC over all the rest, and is accepted once.
+//! Datagram encoding: each datagram names its version, carries a MAC keyed by the installation over the rest, and is
+//! accepted once.
 //!
-//! The length is checked first, then the version, then the MAC; only then is anything decoded. A message that is longer than a
-//! datagram is fragmented; of each peer one message is reassembled at a time.
+//! The length is checked first, then the version, then the MAC; nothing is decoded before. A message that does not fit
+//! in one datagram is fragmented. For each peer, one message is reassembled at a time.
 
 mod fragments;
 mod replay;
@@ -17,45 +18,46 @@
 use fragments::{Fragment, Reassembly};
 use replay::ReplayWindow;
 
-/// Longest datagram, in bytes.
+/// Maximum size of a datagram, in bytes.
 pub const MAX_DATAGRAM_BYTES: usize = 1432;
-/// Longest part of a message in one datagram, in bytes.
+/// Maximum size of the payload of one datagram, in bytes.
 const MAX_FRAGMENT_BYTES: usize = 1280;
-/// Longest message, in bytes.
+/// Maximum size of an encoded message, in bytes.
 pub const MAX_MESSAGE_BYTES: usize = 512 << 10;
-/// Bytes of the messages that are being reassembled, of all peers together.
+/// Maximum total size of the messages that are being reassembled, in bytes, for all peers together.
 const MAX_REASSEMBLY_BYTES: usize = 8 << 20;
 const MAGIC_BYTE: u8 = 0xE7;
 /// Version of the datagrams that this program sends and accepts.
 pub const VERSION: u8 = 1;
+/// Length of the truncated MAC, in bytes.
 const TAG_BYTES: usize = 16;
 /// Magic byte, version and tag.
 const PREFIX_BYTES: usize = 2 + TAG_BYTES;
-/// Room for an encoded header.
-const HEADER_CAPACITY: usize = 64;
+/// Space reserved for an encoded header.
+const HEADER_CAPACITY_BYTES: usize = 64;
 
 /// Why a datagram was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DropReason {
-    /// None of ours by its length or first byte.
-    NotOurs,
-    /// Of a version that this program does not know.
+    /// The length or the magic byte is invalid.
+    Unrecognized,
+    /// The version is not supported.
     UnknownVersion,
-    /// Of another installation, forged or corrupted.
+    /// The MAC is wrong: the datagram is from another installation, forged or corrupted.
     WrongMac,
-    /// For another front, or from one that is not configured.
+    /// The receiver is another front, or the sender is not configured.
     WrongFront,
-    /// Accepted before, too old, or of an earlier incarnation.
+    /// It was accepted before, is older than the replay window, or is from an earlier incarnation.
     Replayed,
-    /// The MAC is right, but the content can't be decoded.
+    /// The MAC is correct, but the content can't be decoded.
     Undecodable,
 }
 
 impl DropReason {
-    /// Its name in status output.
+    /// The name of this reason in status output.
     pub fn name(self) -> &'static str {
         match self {
-            DropReason::NotOurs => "Strange",
+            DropReason::Unrecognized => "Strange",
             DropReason::UnknownVersion => "Version",
             DropReason::WrongMac => "Mac",
             DropReason::WrongFront => "Elsewhere",
@@ -65,16 +67,18 @@
     }
 }
 
+/// Header of a datagram, between its MAC and its payload.
 #[derive(Serialize, Deserialize)]
 struct Header {
     from: FrontId,
     to: FrontId,
     incarnation: u64,
     counter: u64,
+    /// `None` if the payload is the entire message.
     fragment: Option<Fragment>,
 }
 
-/// What was received of one front.
+/// State of the datagrams received from one front.
 #[derive(Debug, Default)]
 struct PeerState {
     window: ReplayWindow,
@@ -89,20 +93,20 @@
 
 /// Encodes and decodes the datagrams of one incarnation of a front.
 pub struct DatagramCodec {
-    /// Keyed, with the installation's name already in it.
+    /// Initialized with the key and the installation's name.
     mac: Hmac<Sha256>,
     own: FrontId,
     incarnation: u64,
     counter: u64,
     next_message: u32,
-    /// Only fronts that are configured.
+    /// All configured fronts except the own one.
     peers: BTreeMap<FrontId, PeerState>,
-    /// Datagrams that were dropped, by reason.
+    /// Number of dropped datagrams by reason.
     pub dropped: BTreeMap<DropReason, u64>,
 }
 
 impl DatagramCodec {
-    /// The key is the installation's, and its name goes into every MAC.
+    /// Creates a codec with the installation's key. The installation's name goes into every MAC.
     pub fn new(
         key: &[u8],
         installation: &str,
@@ -126,11 +130,12 @@
         }
     }
 
-    /// The highest incarnation that was seen of a front since the start.
+    /// The highest incarnation of a front that was seen since the start.
     pub fn seen_incarnation(&self, front: FrontId) -> u64 {
         self.peers.get(&front).map_or(0, |peer| peer.window.incarnation())
     }
 
+    /// The MAC of a datagram's body, which also covers the version.
     fn mac_of(&self, body: &[u8]) -> Hmac<Sha256> {
         let mut mac = self.mac.clone();
         mac.update(&[VERSION]);
@@ -138,7 +143,7 @@
         mac
     }
 
-    /// The datagrams that carry a message to a front; none for a message that is too long.
+    /// Encodes a message for a front as one or more datagrams; returns none for a message that is too long.
     pub fn encode(&mut self, to: FrontId, message: &PeerMessage) -> Vec<Vec<u8>> {
         let Ok(bytes) = postcard::to_allocvec(message) else { return Vec::new() };
         if bytes.len() > MAX_MESSAGE_BYTES {
@@ -148,23 +153,31 @@
         let message = self.next_message;
         self.next_message = self.next_message.wrapping_add(1);
         let fragment = |index: usize| Fragment { message, index: index as u16, count: count as u16 };
-        let parts = bytes.chunks(MAX_FRAGMENT_BYTES).enumerate();
-        parts
-            .filter_map(|(index, part)| self.encode_one(to, (count > 1).then(|| fragment(index)), part))
+        let payloads = bytes.chunks(MAX_FRAGMENT_BYTES).enumerate();
+        payloads
+            .filter_map(|(index, payload)| {
+                self.encode_datagram(to, (count > 1).then(|| fragment(index)), payload)
+            })
             .collect()
     }
 
-    fn encode_one(&mut self, to: FrontId, fragment: Option<Fragment>, part: &[u8]) -> Option<Vec<u8>> {
+    fn encode_datagram(
+        &mut self,
+        to: FrontId,
+        fragment: Option<Fragment>,
+        payload: &[u8],
+    ) -> Option<Vec<u8>> {
         self.counter += 1;
         let header =
             Header { from: self.own, to, incarnation: self.incarnation, counter: self.counter, fragment };
-        let body = postcard::to_extend(&header, Vec::with_capacity(MAX_FRAGMENT_BYTES + HEADER_CAPACITY));
-        let body = [&body.ok()?[..], part].concat();
+        let body =
+            postcard::to_extend(&header, Vec::with_capacity(MAX_FRAGMENT_BYTES + HEADER_CAPACITY_BYTES));
+        let body = [&body.ok()?[..], payload].concat();
         let tag = self.mac_of(&body).finalize().into_bytes();
         Some([&[MAGIC_BYTE, VERSION][..], &tag[..TAG_BYTES], &body].concat())
     }
 
-    /// The message of a datagram, with its sender; `None` for a dropped datagram, or while fragments are missing.
+    /// Decodes a datagram to its sender and message; `None` if it was dropped, or while fragments are missing.
     pub fn decode(&mut self, datagram: &[u8]) -> Option<(FrontId, PeerMessage)> {
         match self.try_decode(datagram) {
             Ok(message) => message,
@@ -177,7 +190,7 @@
 
     fn try_decode(&mut self, datagram: &[u8]) -> Result<Option<(FrontId, PeerMessage)>, DropReason> {
         let body = self.authenticate(datagram)?;
-        let (header, part) =
+        let (header, payload) =
             postcard::take_from_bytes::<Header>(body).map_err(|_| DropReason::Undecodable)?;
         if header.to != self.own {
             return Err(DropReason::WrongFront);
@@ -189,16 +202,16 @@
         if !peer.window.accept(header.incarnation, header.counter) {
             return Err(DropReason::Replayed);
         }
-        let Some(fragment) = header.fragment else { return decode_message(header.from, part).map(Some) };
-        let message = self.reassemble(header.from, fragment, part)?;
+        let Some(fragment) = header.fragment else { return decode_message(header.from, payload).map(Some) };
+        let message = self.reassemble(header.from, fragment, payload)?;
         message.map(|message| decode_message(header.from, &message)).transpose()
     }
 
-    /// The body of a datagram whose length, version and MAC are right.
+    /// Checks length, version and MAC, and returns the body of the datagram.
     fn authenticate<'a>(&self, datagram: &'a [u8]) -> Result<&'a [u8], DropReason> {
-        let is_length_possible = datagram.len() > PREFIX_BYTES && datagram.len() <= MAX_DATAGRAM_BYTES;
-        if !is_length_possible || datagram[0] != MAGIC_BYTE {
-            return Err(DropReason::NotOurs);
+        let is_length_valid = datagram.len() > PREFIX_BYTES && datagram.len() <= MAX_DATAGRAM_BYTES;
+        if !is_length_valid || datagram[0] != MAGIC_BYTE {
+            return Err(DropReason::Unrecognized);
         }
         if datagram[1] != VERSION {
             return Err(DropReason::UnknownVersion);
@@ -208,36 +221,36 @@
         Ok(body)
     }
 
-    /// Adds a fragment; gives the whole message once it is complete.
+    /// Adds a fragment; returns the encoded message once it is complete.
     fn reassemble(
         &mut self,
         from: FrontId,
         fragment: Fragment,
-        part: &[u8],
+        payload: &[u8],
     ) -> Result<Option<Vec<u8>>, DropReason> {
         let max_fragments = MAX_MESSAGE_BYTES.div_ceil(MAX_FRAGMENT_BYTES);
-        if !fragment.is_valid(max_fragments) || part.len() > MAX_FRAGMENT_BYTES {
+        if !fragment.is_valid(max_fragments) || payload.len() > MAX_FRAGMENT_BYTES {
             return Err(DropReason::Undecodable);
         }
         let Some(peer) = self.peers.get_mut(&from) else { return Ok(None) };
-        if peer.reassembly.as_ref().is_none_or(|reassembly| !reassembly.is_of(fragment)) {
+        if peer.reassembly.as_ref().is_none_or(|reassembly| !reassembly.matches(fragment)) {
             peer.reassembly = Some(Reassembly::new(fragment));
         }
-        let reassembled: usize = self.peers.values().map(PeerState::reassembly_bytes).sum();
+        let total_bytes: usize = self.peers.values().map(PeerState::reassembly_bytes).sum();
         let Some(peer) = self.peers.get_mut(&from) else { return Ok(None) };
-        if reassembled + part.len() > MAX_REASSEMBLY_BYTES {
+        if total_bytes + payload.len() > MAX_REASSEMBLY_BYTES {
             peer.reassembly = None;
             return Err(DropReason::Undecodable);
         }
         let Some(reassembly) = &mut peer.reassembly else { return Ok(None) };
-        reassembly.add(fragment, part);
+        reassembly.add(fragment, payload);
         if !reassembly.is_complete() {
             return Ok(None);
         }
         Ok(peer.reassembly.take().map(Reassembly::into_message))
     }
 
-    /// Bytes of the messages that are being reassembled, of all peers together.
+    /// Total size of the messages that are being reassembled, in bytes, for all peers together.
     pub fn reassembly_bytes(&self) -> usize {
         self.peers.values().map(PeerState::reassembly_bytes).sum()
     }
@@ -248,18 +261,18 @@
     Ok((from, message))
 }
 
-/// What a datagram says it is, without authentication: for stand-ins of the network that act on a kind of message.
+/// The unauthenticated header of a datagram, for test networks that handle some kinds of messages differently.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeekedDatagram {
-    /// The sender that it names.
+    /// The claimed sender.
     pub from: FrontId,
-    /// The receiver that it names.
+    /// The claimed receiver.
     pub to: FrontId,
     /// The kind of its message.
     pub kind: PeekedKind,
 }
 
-/// The kinds of messages that [`peek`] tells apart, in the order of [`PeerMessage`]'s variants.
+/// The kinds of messages that [`peek`] distinguishes, in the order of [`PeerMessage`]'s variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[allow(missing_docs, reason = "named as the variants of PeerMessage")]
 pub enum PeekedKind {
@@ -277,6 +290,7 @@
 }
 
 impl PeekedKind {
+    /// Indexed by the position of the variant in [`PeerMessage`].
     const BY_VARIANT: [PeekedKind; 9] = [
         PeekedKind::Gossip,
         PeekedKind::VoterHello,
@@ -290,13 +304,14 @@
     ];
 }
 
-/// Reads what a datagram says it is; `None` for one that can't be read, or of a kind that is not told apart.
+/// Reads a datagram's header without authentication; `None` if it can't be decoded, or for a kind of message that is
+/// not distinguished.
 pub fn peek(datagram: &[u8]) -> Option<PeekedDatagram> {
     let body = datagram.get(PREFIX_BYTES..)?;
-    let (header, part) = postcard::take_from_bytes::<Header>(body).ok()?;
+    let (header, payload) = postcard::take_from_bytes::<Header>(body).ok()?;
     let kind = match header.fragment {
         Some(_) => PeekedKind::Fragment,
-        None => *PeekedKind::BY_VARIANT.get(usize::from(*part.first()?))?,
+        None => *PeekedKind::BY_VARIANT.get(usize::from(*payload.first()?))?,
     };
     Some(PeekedDatagram { from: header.from, to: header.to, kind })
 }
--- a/core/fleet/src/lib.rs
+++ b/core/fleet/src/lib.rs
@@ -1,16 +1,19 @@
-//! One node of the fleet: datagrams and the clock go in, what is to be sent, synced and applied comes out. Sockets and files are
-//! the caller's.
+//! One node of the fleet, without I/O: its inputs are datagrams and the clock, its outputs are what the caller has to
+//! send, sync and apply. The caller owns the sockets and files.
 //!
-//! **Invariants: no message of a peer is decoded before its length, its installation's MAC and its replay window have been
-//! checked; and nothing that depends on stable storage is sent before [`FleetNode::on_synced`].** Both rest on the
-//! installation's key being secret and on a store that keeps what it has reported as synced. They do not rest on the network,
-//! the clocks, or failure detection.
+//! **Invariants:**
+//! - No message from a peer is decoded before the datagram's length and MAC have been checked and its counter has
+//!   passed the replay window.
+//! - Nothing that depends on stable storage is sent before [`FleetNode::on_synced`].
+//!
+//! They depend on the installation's key being secret, and on a store that keeps what it has reported as synced. They
+//! do not depend on the network, the clocks, or failure detection.
 //!
 //! - [`datagram`]: version, MAC, replay window, fragments;
-//! - [`message`]: what nodes say to each other;
+//! - [`message`]: the messages between nodes;
 //! - [`agreed_state`]: the replicated state of all subsystems;
-//! - [`settings`]: what the configuration says, and what a node recovers from its store;
-//! - [`output`]: what the caller has to do;
+//! - [`settings`]: the configuration, and what a node recovers from its store;
+//! - [`output`]: the actions that the caller has to carry out;
 //! - [`node`]: the node itself.
 
 #![warn(clippy::needless_pass_by_value, clippy::too_many_lines, clippy::fn_params_excessive_bools)]
--- a/core/fleet/src/message.rs
+++ b/core/fleet/src/message.rs
@@ -1,4 +1,4 @@
-//! What nodes say to each other.
+//! The messages between nodes. They are encoded by position: the order of variants and fields is part of the protocol.
 
 use elmtide_budgets::{FrontId, LeaseRequest, LeaseResponse};
 use elmtide_consensus::{CommandId, Message, VoterId};
@@ -6,16 +6,16 @@
 
 use crate::agreed_state::{AgreedCommand, CommandOutcome};
 
-/// What a front says of itself to the voters.
+/// What a front tells the voters about itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VoterHello {
-    /// The id of its store, if it votes.
+    /// The id of its store; `None` without a vote.
     pub voter: Option<VoterId>,
-    /// It has taken part in a log.
+    /// Whether it has taken part in a log.
     pub has_log: bool,
-    /// The highest incarnation that it has seen of the receiver.
+    /// The highest incarnation of the receiver that it has seen.
     pub seen_incarnation: u64,
-    /// It does not know whether its own store is the latest, and needs a reply.
+    /// Whether it needs a reply, because it does not know whether its own store is the latest.
     pub needs_reply: bool,
 }
 
@@ -24,45 +24,45 @@
 pub enum PeerMessage {
     /// A datagram of the failure detector.
     Gossip(Vec<u8>),
-    /// Between voters: ids and incarnations.
+    /// Exchanged between voters: their ids and incarnations.
     VoterHello(VoterHello),
     /// A message of the replicated log.
     Raft(Box<Message>),
-    /// Begins or renews a lease.
+    /// Requests or renews a lease.
     LeaseRequest(LeaseRequest),
-    /// Answers a request.
+    /// Answers a lease request.
     LeaseResponse(LeaseResponse),
-    /// The sender does not lead; who does, as far as it knows.
+    /// The sender is not the leader; names the leader if it knows it.
     NotLeader(Option<FrontId>),
-    /// Something has changed for the receiver: it should renew its lease now.
+    /// Something has changed for the receiver, which should renew its lease now.
     RenewNow,
-    /// A command for the replicated log.
+    /// Submits a command for the replicated log.
     SubmitCommand(CommandId, AgreedCommand),
-    /// What became of a command.
+    /// The outcome of a submitted command.
     CommandOutcome(CommandId, CommandOutcome),
-    /// A lease request with what the front reports on machines in maintenance.
+    /// A lease request with the front's report on machines in maintenance.
     MaintenanceLeaseRequest(LeaseRequest, elmtide_maintenance::MaintenanceReport),
-    /// A response with the view of machines in maintenance.
+    /// A lease response with the view of machines in maintenance.
     MaintenanceLeaseResponse(LeaseResponse, elmtide_maintenance::MaintenanceView),
-    /// A lease request with what the front reports on other sites, and maybe on machines in maintenance.
+    /// A lease request with the front's report on other sites, and optionally on machines in maintenance.
     SiteLeaseRequest(LeaseRequest, Option<elmtide_maintenance::MaintenanceReport>, elmtide_sites::SiteReport),
-    /// A response with the view of sites, and maybe of machines in maintenance.
+    /// A lease response with the view of sites, and optionally of machines in maintenance.
     SiteLeaseResponse(LeaseResponse, Option<elmtide_maintenance::MaintenanceView>, elmtide_sites::SiteView),
-    /// A sign of life for fronts of other sites.
+    /// A heartbeat for fronts of other sites.
     SiteHeartbeat,
 }
 
-/// What a front reports with a lease request; `None` for a subsystem that is off.
+/// What a front reports with a lease request; `None` for a disabled subsystem.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Reports {
-    /// On machines in maintenance.
+    /// Report on machines in maintenance.
     pub maintenance: Option<elmtide_maintenance::MaintenanceReport>,
-    /// On other sites.
+    /// Report on other sites.
     pub sites: Option<elmtide_sites::SiteReport>,
 }
 
 impl Reports {
-    /// The request with these reports as one message.
+    /// Combines the request and these reports into one message.
     pub fn into_message(self, request: LeaseRequest) -> PeerMessage {
         match (self.maintenance, self.sites) {
             (maintenance, Some(sites)) => PeerMessage::SiteLeaseRequest(request, maintenance, sites),
@@ -72,17 +72,17 @@
     }
 }
 
-/// What a front is told with a lease response; `None` for a subsystem that is off.
+/// What a front is told with a lease response; `None` for a disabled subsystem.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Views {
-    /// Machines in maintenance.
+    /// View of machines in maintenance.
     pub maintenance: Option<elmtide_maintenance::MaintenanceView>,
-    /// Sites.
+    /// View of lost and recovering sites.
     pub sites: Option<elmtide_sites::SiteView>,
 }
 
 impl Views {
-    /// The response with these views as one message.
+    /// Combines the response and these views into one message.
     pub fn into_message(self, response: LeaseResponse) -> PeerMessage {
         match (self.maintenance, self.sites) {
             (maintenance, Some(sites)) => PeerMessage::SiteLeaseResponse(response, maintenance, sites),
--- a/core/fleet/src/node.rs
+++ b/core/fleet/src/node.rs
@@ -1,9 +1,15 @@
-//! One node: the failure detector, the replicated log if it votes, the lease that it holds, and what it grants while it leads.
+//! One node: the failure detector, the replicated log if the node votes, the lease that it holds, and the leases that
+//! it grants as the leader.
 //!
-//! A message or a tick enters here and is handed to the part that it is for:
-//! `bootstrap` (voter ids, a new log, a stale store), `replication` (the log and its storage), `leadership` (what a leader
-//! proposes and answers), `lease` (the lease that this front holds), `commands` (commands of this front),
-//! `heartbeat` (signs of life between sites), `status` (what is shown to operators).
+//! This module dispatches messages and ticks to its submodules:
+//! - `bootstrap`: voter ids, starting a new log, detecting a stale store;
+//! - `voting`: the state of this node's vote;
+//! - `replication`: the replicated log and its storage;
+//! - `leadership`: what a leader proposes and answers;
+//! - `lease`: the lease that this front holds;
+//! - `commands`: commands that this front submits to the log;
+//! - `heartbeat`: heartbeats between sites;
+//! - `status`: what is shown to operators.
 
 mod bootstrap;
 mod commands;
@@ -32,44 +38,44 @@
 use lease::LeaseClient;
 use voting::{ActiveVoter, VoterState};
 
-/// Ticks in a probe period of the failure detector.
+/// Probe period of the failure detector, in ticks.
 const PROBE_PERIOD_TICKS: Micros = 20;
-/// Most ticks that are made up for after a stall.
+/// Maximum number of ticks that one call catches up on.
 const MAX_TICKS_AT_ONCE: usize = 3;
-/// The round robin over the voters begins at a place that differs from front to front.
-const ROUND_ROBIN_STARTS: u64 = 97;
+/// Number of offsets at which the round robin over the voters may start, so that fronts start at different voters.
+const ROUND_ROBIN_OFFSETS: u64 = 97;
 
 /// Why a node can't be started.
 #[derive(Debug, thiserror::Error)]
 pub enum NodeError {
-    /// The configuration does not name this front.
-    #[error("this front is not in the fleet's file")]
+    /// The configuration does not list this front.
+    #[error("this front is not listed in the fleet's file")]
     NotConfigured,
-    /// The voter can't be started from its store.
+    /// The voter can't be restored from its store.
     #[error(transparent)]
     Restore(#[from] RestoreError),
 }
 
-/// How far this front has come with leaving the fleet.
+/// Progress of this front in leaving the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Departure {
     Staying,
-    /// It has stopped spending, and has asked for its quotas to be released.
+    /// It no longer uses its quotas, and has submitted the command that releases them.
     Leaving,
-    /// The others know.
+    /// That command has an outcome.
     Left,
 }
 
-/// Datagrams sent.
+/// Counters of sent datagrams.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
-    /// Their number.
+    /// Number of datagrams.
     pub datagrams: u64,
-    /// Their bytes.
+    /// Their total size, in bytes.
     pub bytes: u64,
 }
 
-/// What is known of another front's vote.
+/// What is known about another front's voter.
 #[derive(Clone, Copy, Debug)]
 struct KnownVoter {
     id: VoterId,
@@ -78,10 +84,12 @@
 
 /// A node of the fleet.
 ///
-/// A voter that was restarted asks the others whether they have seen a later incarnation of it: its store may be a copy from
-/// before, whose vote must not count. It votes when all other voters have denied it, or when a majority of all has, itself
-/// counted, and the probation is over. What this leaves open: a store that was restored from a copy while all who saw the later
-/// incarnation are away.
+/// A restarted voter is on probation: it asks the other voters whether they have seen a later incarnation of it,
+/// because its store may be an old copy whose vote must not count. It votes once all other voters have answered that
+/// they have not, or once the probation period has passed and a majority of the voters, itself included, has not.
+///
+/// One case remains undetected: a store that was restored from an old copy while every voter that saw the later
+/// incarnation is unreachable.
 pub struct FleetNode {
     own: FrontId,
     settings: FleetSettings,
@@ -90,15 +98,16 @@
     voting: VoterState,
     lease: LeaseClient,
     commands: CommandQueue,
-    /// What is reported with each lease request.
+    /// Sent with each lease request.
     reports: Reports,
     known_voters: BTreeMap<FrontId, KnownVoter>,
-    /// Fronts of which something came since [`FleetNode::take_heard_fronts`], where sites are watched.
+    /// Fronts that have sent a datagram since the last [`FleetNode::take_heard_fronts`]; empty if site failover is
+    /// disabled.
     heard_fronts: BTreeSet<FrontId>,
     ticks: u64,
     next_tick_at: Micros,
     departure: Departure,
-    is_durable: bool,
+    has_durable_store: bool,
     seed: u64,
     outputs: VecDeque<Output>,
     traffic: Traffic,
@@ -108,7 +117,7 @@
     /// Starts a node.
     ///
     /// # Errors
-    /// If the configuration does not name this front, or its store can't be used.
+    /// If the configuration does not list this front, or the voter can't be restored from its store.
     pub fn new(config: NodeConfig, now: Clocks) -> Result<FleetNode, NodeError> {
         let NodeConfig { own, installation, key, settings, recovered, seed } = config;
         let front = settings.fronts.iter().find(|front| front.id == own).ok_or(NodeError::NotConfigured)?;
@@ -121,10 +130,10 @@
         let voting = match (is_voter, recovered.voter) {
             (false, _) => VoterState::NotVoting,
             (true, Some(id)) => VoterState::Active(ActiveVoter::on_probation(id, recovered.log)?),
-            (true, None) => VoterState::ChoosingId(VoterId(mix(seed ^ now.wall) | 1)),
+            (true, None) => VoterState::SyncingId(VoterId(splitmix64(seed ^ now.wall) | 1)),
         };
         let lease_holder = LeaseHolder::new(holder, settings.lease, seed | 1, minimums.epoch);
-        let first_voter = (seed % ROUND_ROBIN_STARTS) as usize;
+        let first_voter = (seed % ROUND_ROBIN_OFFSETS) as usize;
         let mut node = FleetNode {
             own,
             codec,
@@ -140,14 +149,14 @@
             ticks: 0,
             next_tick_at: now.monotonic,
             departure: Departure::Staying,
-            is_durable: recovered.durable,
+            has_durable_store: recovered.durable,
             seed,
             outputs: VecDeque::new(),
             traffic: Traffic::default(),
             voting,
             settings,
         };
-        if let VoterState::ChoosingId(id) = node.voting {
+        if let VoterState::SyncingId(id) = node.voting {
             node.outputs.push_back(Output::SyncVoterId(id));
         }
         if !minimums.minimums.is_empty() {
@@ -156,28 +165,28 @@
         Ok(node)
     }
 
-    /// This front's incarnation, as the holder of its lease.
+    /// This front and its incarnation, as the holder of a lease.
     pub fn holder(&self) -> HolderId {
         self.lease.holder.id()
     }
 
-    /// What is to be done next, in order. Nothing of the log follows a `SyncLog` or `SyncVoterId` before
+    /// The next action for the caller. After a `SyncLog` or `SyncVoterId`, the log produces no output until
     /// [`FleetNode::on_synced`].
     pub fn poll_output(&mut self) -> Option<Output> {
         self.outputs.pop_front()
     }
 
-    /// When [`FleetNode::advance_time`] has to be called next.
+    /// The time at which [`FleetNode::advance_time`] has to be called next.
     pub fn next_deadline(&self) -> Micros {
         self.next_tick_at.min(self.detector.next_deadline()).min(self.lease.next_request_at)
     }
 
-    /// Datagrams sent since the start.
+    /// The datagrams that were sent since the start.
     pub fn traffic(&self) -> Traffic {
         self.traffic
     }
 
-    /// Takes a datagram.
+    /// Handles a received datagram.
     pub fn on_datagram(&mut self, datagram: &[u8], now: Clocks) {
         let Some((from, message)) = self.codec.decode(datagram) else { return };
         if self.settings.sites.is_some() {
@@ -222,7 +231,7 @@
         self.send_gossip();
     }
 
-    /// Does everything that is due.
+    /// Does everything that is due by now.
     pub fn advance_time(&mut self, now: Clocks) {
         self.detector.advance_time(now.monotonic);
         self.send_gossip();
@@ -233,7 +242,8 @@
             self.next_tick_at += self.settings.tick;
             self.tick(now);
         }
-        // After a stall the ticks that were missed are not made up for: the others' timeouts have passed, ours have not.
+        // After a stall, the remaining missed ticks are skipped. The other nodes' timeouts have passed meanwhile, but this
+        // node's have not.
         self.next_tick_at = self.next_tick_at.max(now.monotonic.saturating_sub(self.settings.tick));
         if now.monotonic >= self.lease.next_request_at {
             self.request_lease(now);
@@ -245,7 +255,7 @@
     fn tick(&mut self, now: Clocks) {
         self.ticks += 1;
         if let VoterState::Active(active) = &mut self.voting {
-            if active.may_take_input() {
+            if active.accepts_input() {
                 active.voter.tick();
             }
         }
@@ -279,7 +289,8 @@
         self.settings.voters().filter(|front| *front != self.own).collect()
     }
 
-    /// This front leaves in order: it has stopped spending its quotas. [`FleetNode::has_left`] tells when the others know.
+    /// Starts to leave the fleet. The caller must have stopped using its quotas. [`FleetNode::has_left`] tells when the
+    /// other nodes know of it.
     pub fn leave(&mut self, now: Clocks) {
         if self.departure == Departure::Staying {
             self.departure = Departure::Leaving;
@@ -288,7 +299,7 @@
         }
     }
 
-    /// Whether the others know that this front has left.
+    /// Whether the command by which this front leaves has an outcome.
     pub fn has_left(&self) -> bool {
         self.departure == Departure::Left
     }
@@ -308,8 +319,8 @@
     FailureDetector::new(identity, probes, &listed, seed, now.monotonic)
 }
 
-/// A hash of one number (the finalizer of SplitMix64).
-fn mix(x: u64) -> u64 {
+/// One step of SplitMix64, used as a hash of a number.
+fn splitmix64(x: u64) -> u64 {
     let x = x.wrapping_add(0x9E37_79B9_7F4A_7C15);
     let x = (x ^ (x >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
     let x = (x ^ (x >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
--- a/core/fleet/src/node/bootstrap.rs
+++ b/core/fleet/src/node/bootstrap.rs
@@ -1,4 +1,4 @@
-//! Hellos between voters: ids, the beginning of a new log, a store that is not the latest.
+//! Hello messages between voters: they exchange voter ids, start a new log, and detect a store that is not the latest.
 
 use elmtide_budgets::{Clocks, FrontId};
 use elmtide_consensus::voter::initial_snapshot;
@@ -57,14 +57,14 @@
             self.send(from, &PeerMessage::VoterHello(reply));
         }
         if hello.seen_incarnation == own_incarnation {
-            self.note_voucher(from);
+            self.record_confirmation(from);
         }
         self.end_probation();
         self.bootstrap_log();
         self.run_log(now);
     }
 
-    /// Another run of this front is, or was, later than this one: its store is the later one as well.
+    /// A later incarnation of this front has run, so its store was the later one, and this store must not be used.
     fn on_later_incarnation(&mut self, seen_incarnation: u64) {
         if !matches!(self.voting, VoterState::Failed) {
             self.voting = VoterState::Failed;
@@ -73,29 +73,30 @@
         }
     }
 
-    /// A front has seen no later incarnation of this one.
-    fn note_voucher(&mut self, from: FrontId) {
+    /// Records that another front has seen no later incarnation of this one.
+    fn record_confirmation(&mut self, from: FrontId) {
         let VoterState::Active(active) = &mut self.voting else { return };
         if let Some(probation) = &mut active.probation {
-            if !probation.vouched.contains(&from) {
-                probation.vouched.push(from);
+            if !probation.confirmed_by.contains(&from) {
+                probation.confirmed_by.push(from);
             }
         }
     }
 
+    /// Ends the probation once enough voters have confirmed this incarnation; see [`FleetNode`].
     pub(super) fn end_probation(&mut self) {
         let voters: Vec<FrontId> = self.settings.voters().collect();
         let VoterState::Active(active) = &mut self.voting else { return };
         let Some(probation) = &active.probation else { return };
-        let vouched = probation.vouched.iter().filter(|front| voters.contains(front)).count();
-        let with_itself = vouched + 1;
-        let is_majority = with_itself * 2 > voters.len();
-        if with_itself >= voters.len() || (is_majority && self.ticks >= probation.ends_at_tick) {
+        let confirmations = probation.confirmed_by.iter().filter(|front| voters.contains(front)).count();
+        let including_self = confirmations + 1;
+        let is_majority = including_self * 2 > voters.len();
+        if including_self >= voters.len() || (is_majority && self.ticks >= probation.ends_at_tick) {
             active.probation = None;
         }
     }
 
-    /// The first voters of a new installation begin its log together, once each has heard from all that they are new.
+    /// Starts the log of a new installation, once all other voters have reported that they have no log either.
     pub(super) fn bootstrap_log(&mut self) {
         let others = self.other_voters();
         let VoterState::Active(active) = &mut self.voting else { return };
@@ -110,18 +111,19 @@
                 _ => return,
             }
         }
-        let first = initial_snapshot::<AgreedState>(&voters);
-        active.bootstrapping = Some(first.clone());
-        self.outputs.push_back(Output::SyncLog(first));
+        let first_snapshot = initial_snapshot::<AgreedState>(&voters);
+        active.bootstrapping = Some(first_snapshot.clone());
+        self.outputs.push_back(Output::SyncLog(first_snapshot));
     }
 
-    /// The first snapshot is on stable storage: the voter starts with it, and the lowest id campaigns at once.
-    pub(super) fn finish_bootstrap(&mut self, mut begun: Box<ActiveVoter>) {
-        let voters = begun.voter.voters().incoming;
-        if voters.iter().min() == Some(&begun.voter.id()) {
-            begun.voter.campaign();
+    /// The first snapshot is on stable storage. The voter starts with it, and the one with the lowest id campaigns at
+    /// once.
+    pub(super) fn finish_bootstrap(&mut self, mut bootstrapped: Box<ActiveVoter>) {
+        let voters = bootstrapped.voter.voters().incoming;
+        if voters.iter().min() == Some(&bootstrapped.voter.id()) {
+            bootstrapped.voter.campaign();
         }
         self.report_event(Event::LogBootstrapped { voters: voters.len() });
-        self.voting = VoterState::Active(begun);
+        self.voting = VoterState::Active(bootstrapped);
     }
 }
--- a/core/fleet/src/node/commands.rs
+++ b/core/fleet/src/node/commands.rs
@@ -1,4 +1,5 @@
-//! Commands of this front for the replicated log: one is submitted at a time, again and again until its outcome is known.
+//! Commands that this front submits to the replicated log. One is submitted at a time, and retried until its outcome is
+//! known. The leader's handling of submitted commands is here as well.
 
 use std::collections::VecDeque;
 
@@ -14,25 +15,28 @@
 
 /// Ticks after which a command without an outcome is submitted again.
 const RETRY_INTERVAL_TICKS: u64 = 10;
-/// Most commands of operators that wait at this front.
+/// Maximum number of operators' commands that wait at this front.
 const MAX_PENDING_COMMANDS: usize = 16;
-/// Most commands of other fronts that wait here, for the log or for their outcomes.
+/// Maximum number of submitted commands that wait here while the log is syncing, and of those that wait for their
+/// outcomes.
 const MAX_WAITING_CLIENTS: usize = 256;
 
+/// The command whose outcome this front waits for.
 struct SubmittedCommand {
     id: CommandId,
     command: AgreedCommand,
     submitted_at_tick: u64,
-    /// The operator's tag; `None` for a command of the node's own.
+    /// The tag of an operator's command; `None` for a command that the node itself submitted.
     tag: Option<u64>,
 }
 
+/// An operator's command that has not been submitted yet.
 struct PendingCommand {
     tag: u64,
     command: AgreedCommand,
 }
 
-/// The commands of this front.
+/// The commands that this front submits.
 #[derive(Default)]
 pub(super) struct CommandQueue {
     submitted: Option<SubmittedCommand>,
@@ -40,13 +44,13 @@
     last_sequence: u64,
 }
 
-/// Too many commands of operators wait at this front.
+/// Too many operators' commands wait at this front.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("too many commands wait at this front")]
 pub struct TooManyCommands;
 
 impl FleetNode {
-    /// Requests an operator's command; its outcome comes with the tag.
+    /// Queues an operator's command. Its outcome is reported with the tag.
     ///
     /// # Errors
     /// If too many commands wait.
@@ -76,7 +80,7 @@
         }
     }
 
-    /// Submits a command of this front in place of the one before, whose outcome is not waited for any more.
+    /// Submits a command of this front. It replaces the previous one, whose outcome is no longer waited for.
     pub fn submit(&mut self, command: AgreedCommand, now: Clocks) {
         self.submit_tagged(command, now);
     }
@@ -101,14 +105,15 @@
     fn send_submitted(&mut self, now: Clocks) {
         let Some(submitted) = &self.commands.submitted else { return };
         let (id, command) = (submitted.id, submitted.command.clone());
-        match self.whom_to_ask() {
+        match self.request_target() {
             Some(to) if to == self.own => self.on_submitted_command(to, id, command, now),
             Some(to) => self.send(to, &PeerMessage::SubmitCommand(id, command)),
             None => {}
         }
     }
 
-    /// Submits again what has no outcome yet, and what the configuration has in a later version than the fleet.
+    /// Retries the submitted command, submits the configuration if it is newer than the fleet's, and then pending
+    /// commands.
     pub(super) fn tick_commands(&mut self, now: Clocks) {
         self.retry_submitted(now);
         if self.commands.submitted.is_none() && self.lease.has_contact {
@@ -128,8 +133,8 @@
         }
     }
 
-    /// A command for what the fleet has in an earlier version than this front's configuration. Version 0 says that nothing is
-    /// known of the fleet's version yet.
+    /// A command that updates what the fleet has in an earlier version than this front's configuration; the list of
+    /// fronts goes first. Version 0 means that the fleet's version is not known yet.
     fn outdated_configuration(&self) -> Option<AgreedCommand> {
         let own_version = self.settings.version;
         let is_outdated = |version: u64| (1..own_version).contains(&version);
@@ -143,7 +148,7 @@
         machines.or_else(|| self.settings.sites_command().filter(|_| is_outdated(self.lease.sites_version)))
     }
 
-    /// Takes a command that a front has submitted here.
+    /// Handles a command that a front, possibly this one, has submitted to this node.
     pub(super) fn on_submitted_command(
         &mut self,
         from: FrontId,
@@ -151,7 +156,7 @@
         command: AgreedCommand,
         now: Clocks,
     ) {
-        let Some(command) = accepted_from_clients(command, now) else { return };
+        let Some(command) = admit_client_command(command, now) else { return };
         if id.client != from.0 {
             return;
         }
@@ -187,12 +192,13 @@
     }
 }
 
-/// What became of a client's command at the leader.
+/// What the leader did with a submitted command.
 enum ClientProposal {
-    /// It waits until a sync has ended.
+    /// The command waits until the sync in progress has completed.
     Queued,
-    /// It was proposed, or dropped: the client submits it again until it has an outcome.
+    /// It was proposed, or dropped. The client retries it until it has an outcome.
     Proposed,
+    /// It was applied before, with this outcome.
     AlreadyApplied(CommandOutcome),
 }
 
@@ -208,8 +214,8 @@
             CommandStatus::Duplicate(outcome) => return ClientProposal::AlreadyApplied(outcome),
             CommandStatus::Stale => {}
             CommandStatus::New => {
-                let has_room = self.waiting_clients.len() < MAX_WAITING_CLIENTS;
-                if has_room && self.voter.propose(Some(id), &command).is_ok() {
+                let has_capacity = self.waiting_clients.len() < MAX_WAITING_CLIENTS;
+                if has_capacity && self.voter.propose(Some(id), &command).is_ok() {
                     self.waiting_clients.insert(id.into(), from);
                 }
             }
@@ -218,8 +224,9 @@
     }
 }
 
-/// The command as the leader proposes it; `None` for one that only a leader may propose. The time in it is the leader's.
-fn accepted_from_clients(mut command: AgreedCommand, now: Clocks) -> Option<AgreedCommand> {
+/// The command as the leader proposes it, with the leader's time in it; `None` for a command that only a leader may
+/// originate.
+fn admit_client_command(mut command: AgreedCommand, now: Clocks) -> Option<AgreedCommand> {
     use elmtide_maintenance::MaintenanceCommand as Maintenance;
     use elmtide_sites::SiteCommand as Sites;
     let now_ms = now.wall / 1000;
--- a/core/fleet/src/node/leadership.rs
+++ b/core/fleet/src/node/leadership.rs
@@ -1,9 +1,9 @@
-//! What this node does while it leads: it proposes commands at its own pace, begins reads for lease requests, and notifies
-//! holders for whom something has changed.
+//! What this node does as the leader: it proposes commands at regular intervals, starts reads for lease requests, and
+//! notifies holders for whom something has changed.
 
 use elmtide_budgets::{BudgetCommand, Clocks, FrontId, HolderId, LeaseAllocator, LeaseRequest, Micros};
 use elmtide_consensus::{Role, VoterId};
-use elmtide_maintenance::CoordinatorInput as MaintenanceClock;
+use elmtide_maintenance::CoordinatorInput as MaintenanceInput;
 
 use super::voting::{ActiveVoter, Leadership, VoterState};
 use super::FleetNode;
@@ -12,41 +12,42 @@
 use crate::output::Event;
 use crate::settings::FleetSettings;
 
-/// Ticks between two plans of a leader.
+/// Interval between a leader's plans, in ticks.
 const PLAN_INTERVAL_TICKS: u64 = 2;
-/// Added to the wait until a machine counts as drained: an attempt that was decided within the lease is written after it.
-const WRITE_ALLOWANCE: Micros = 1_000_000;
+/// Added to the time until a machine counts as drained, because an attempt that was decided within the lease may be
+/// written after it has expired.
+const WRITE_ALLOWANCE_MICROS: Micros = 1_000_000;
 const MICROS_PER_MS: u64 = 1000;
 
-/// A voting front with the id of its store.
+/// A voting front and the voter id of its store.
 #[derive(Clone, Copy, Debug)]
 struct VotingFront {
     front: FrontId,
     voter: VoterId,
 }
 
-/// A change of the cluster's voters.
+/// A change of the log's voters for one front.
 struct VoterReplacement {
     front: FrontId,
     add: Vec<VoterId>,
     remove: Vec<VoterId>,
 }
 
-/// What a leader is about to propose.
+/// What a leader has decided to propose.
 #[derive(Default)]
 struct LeaderPlan {
     commands: Vec<AgreedCommand>,
     budget_commands: Vec<BudgetCommand>,
     voter_replacement: Option<VoterReplacement>,
-    /// This node's own machine is to go: another one leads first.
+    /// Whether another node has to lead first, because this node's own machine is to be released for maintenance.
     transfers_leadership: bool,
 }
 
-/// What a plan is made by, besides the leader's own state.
+/// The inputs of a plan besides the leader's own state.
 struct PlanInput<'a> {
     settings: &'a FleetSettings,
     own: FrontId,
-    /// Voting fronts whose stores are known.
+    /// The other voting fronts whose voter ids are known.
     voting_fronts: Vec<VotingFront>,
     now: Clocks,
 }
@@ -56,7 +57,7 @@
         matches!(&self.voting, VoterState::Active(active) if active.is_leading())
     }
 
-    /// Who leads, as far as this voter knows; of a front without a vote, who answered last.
+    /// The leader as far as this voter knows; for a front without a vote, the one that its lease requests go to.
     pub(super) fn leader_front(&self) -> Option<FrontId> {
         let VoterState::Active(active) = &self.voting else { return self.lease.leader };
         let leader = active.voter.leader()?;
@@ -66,12 +67,12 @@
         self.front_of_voter(leader)
     }
 
-    /// The leader to name to a front that asked here.
-    pub(super) fn leader_for(&self, asking: FrontId) -> Option<FrontId> {
-        self.leader_front().filter(|leader| *leader != self.own && *leader != asking)
+    /// The leader to name to a front that sent its request here.
+    pub(super) fn leader_for(&self, requester: FrontId) -> Option<FrontId> {
+        self.leader_front().filter(|leader| *leader != self.own && *leader != requester)
     }
 
-    /// Begins or ends a term as the leader, and plans at the leader's pace.
+    /// Starts or ends leadership as the voter's role changes, and plans at the leader's interval.
     pub(super) fn tick_leadership(&mut self, now: Clocks) {
         self.update_leadership(now);
         let ticks = self.ticks;
@@ -92,8 +93,8 @@
             active.leadership = None;
             active.waiting_clients.clear();
         }
-        let begins = is_leader && active.leadership.is_none();
-        if begins {
+        let starts_leading = is_leader && active.leadership.is_none();
+        if starts_leading {
             active.leadership = Some(Leadership {
                 term,
                 allocator: LeaseAllocator::new(lease_settings, now.monotonic),
@@ -104,19 +105,19 @@
         if let Some(term) = ended {
             self.report_event(Event::LeadershipLost { term });
         }
-        if begins {
+        if starts_leading {
             self.report_event(Event::LeadershipGained { term });
         }
     }
 
-    /// Proposes what is to be changed, begins a read for the requests that wait, and notifies those for whom something has
+    /// Proposes a plan, starts a read for the waiting lease requests, and notifies holders for whom something has
     /// changed.
     pub(super) fn plan_as_leader(&mut self, now: Clocks) {
         let own = self.own;
-        let known = self.settings.voters().filter_map(|front| {
+        let known_voting_fronts = self.settings.voters().filter_map(|front| {
             self.known_voters.get(&front).map(|known| VotingFront { front, voter: known.id })
         });
-        let voting_fronts = known.collect();
+        let voting_fronts = known_voting_fronts.collect();
         let VoterState::Active(active) = &mut self.voting else { return };
         if !active.is_leading() || active.syncing.is_some() {
             return;
@@ -126,14 +127,14 @@
         let transfers_leadership = plan.transfers_leadership;
         let replaced = active.propose(plan);
         active.begin_lease_read();
-        let notified = active.holders_to_notify();
+        let notified_holders = active.holders_to_notify();
         if let Some(front) = replaced {
             self.report_event(Event::VoterReplaced { front });
         }
         if transfers_leadership {
             self.transfer_leadership(now);
         }
-        for holder in notified {
+        for holder in notified_holders {
             self.notify(holder, now);
         }
         self.run_log(now);
@@ -160,7 +161,7 @@
         reports: Reports,
         now: Clocks,
     ) {
-        // A front asks for itself alone.
+        // A front may request a lease only for itself.
         if request.holder.front != from {
             return;
         }
@@ -175,7 +176,7 @@
         self.run_log(now);
     }
 
-    /// Hands leadership to another voter, if this one leads and another is there.
+    /// Transfers leadership to another voter that is alive, if this node is the leader and no sync is in progress.
     pub fn transfer_leadership(&mut self, now: Clocks) {
         let alive = self.detector.members();
         let is_alive = |front: &FrontId| {
@@ -195,7 +196,8 @@
 
 impl ActiveVoter {
     fn plan(&mut self, input: &PlanInput) -> LeaderPlan {
-        // What is in progress is waited for: it would only be proposed again.
+        // While commands are in progress, only voter changes are planned; other commands would be proposed a second
+        // time.
         if !self.voter.is_fully_applied() {
             let voter_replacement = self.plan_voters(input, &mut Vec::new());
             return LeaderPlan { voter_replacement, ..LeaderPlan::default() };
@@ -211,11 +213,13 @@
         plan
     }
 
-    /// Assigns voters to fronts, and replaces one voter at a time whose store or whose front is another one now.
+    /// Assigns admitted voters to their fronts, and plans at most one change of voters: it adds the voter of a front
+    /// that is new or has a new store, in place of the front's previous voter, or removes the voter of a front that no
+    /// longer votes.
     fn plan_voters(&self, input: &PlanInput, commands: &mut Vec<AgreedCommand>) -> Option<VoterReplacement> {
         let current = self.voter.voters().incoming;
         let agreed = self.voter.state_machine();
-        let is_list_current = agreed.budgets.front_list_version() == input.settings.version;
+        let is_front_list_current = agreed.budgets.front_list_version() == input.settings.version;
         let own = VotingFront { front: input.own, voter: self.voter.id() };
         let mut replacement = None;
         for VotingFront { front, voter } in input.voting_fronts.iter().copied().chain([own]) {
@@ -226,18 +230,19 @@
                 Some(assigned) if current.contains(assigned) => {
                     replacement = Some(VoterReplacement { front, add: vec![voter], remove: vec![*assigned] });
                 }
-                // A front that newly votes: only where the agreed list is the one of this configuration.
-                None if is_list_current => {
+                // A front that has no voter yet is admitted only if the agreed list of fronts is this configuration's.
+                None if is_front_list_current => {
                     replacement = Some(VoterReplacement { front, add: vec![voter], remove: Vec::new() });
                 }
                 _ => {}
             }
         }
-        if replacement.is_none() && is_list_current {
+        if replacement.is_none() && is_front_list_current {
             let configured: Vec<FrontId> = input.settings.voters().collect();
             let mut assigned = agreed.voters.iter();
-            let removed = assigned.find(|(f, voter)| !configured.contains(f) && current.contains(voter));
-            replacement = removed.map(|(front, voter)| VoterReplacement {
+            let removed_front =
+                assigned.find(|(f, voter)| !configured.contains(f) && current.contains(voter));
+            replacement = removed_front.map(|(front, voter)| VoterReplacement {
                 front: *front,
                 add: Vec::new(),
                 remove: vec![*voter],
@@ -246,7 +251,7 @@
         replacement
     }
 
-    /// Proposes a plan; gives the front whose voter is being replaced.
+    /// Proposes a plan. Returns the front whose voter is being replaced.
     fn propose(&mut self, plan: LeaderPlan) -> Option<FrontId> {
         for command in &plan.commands {
             let _ = self.voter.propose(None, command);
@@ -307,36 +312,38 @@
             return;
         }
         let allocator = &self.allocator;
-        let longest_attempt = input.settings.lease.max_request_deadline + WRITE_ALLOWANCE;
-        let requests_ended_at = |holder| allocator.lease_expiry(holder, &agreed.budgets) + longest_attempt;
-        let clock = MaintenanceClock {
+        let max_attempt_duration = input.settings.lease.max_request_deadline + WRITE_ALLOWANCE_MICROS;
+        let requests_ended_at =
+            |holder| allocator.lease_expiry(holder, &agreed.budgets) + max_attempt_duration;
+        let coordinator_input = MaintenanceInput {
             monotonic: input.now.monotonic,
             wall_ms: input.now.wall / MICROS_PER_MS,
             lease: agreed.budgets.lease(),
             own_front: input.own,
             requests_ended_at: &requests_ended_at,
         };
-        let proposal = self.maintenance.propose(&agreed.maintenance, &clock);
+        let proposal = self.maintenance.propose(&agreed.maintenance, &coordinator_input);
         plan.commands.extend(proposal.commands.into_iter().map(AgreedCommand::Maintenance));
         plan.transfers_leadership = proposal.transfers_leadership;
     }
 
     fn plan_sites(&mut self, agreed: &AgreedState, input: &PlanInput, plan: &mut LeaderPlan) {
-        let Some(rules) = &input.settings.sites else { return };
+        let Some(failover_settings) = &input.settings.sites else { return };
         if agreed.sites.version() == 0 {
             return;
         }
-        let clock = elmtide_sites::CoordinatorInput {
+        let coordinator_input = elmtide_sites::CoordinatorInput {
             monotonic: input.now.monotonic,
             wall_ms: input.now.wall / MICROS_PER_MS,
             lease: agreed.budgets.lease(),
         };
-        let commands = self.sites.propose(&agreed.sites, rules, &clock);
+        let commands = self.sites.propose(&agreed.sites, failover_settings, &coordinator_input);
         plan.commands.extend(commands.into_iter().map(AgreedCommand::Sites));
     }
 }
 
-/// Commands for what the configuration has in a later version than the agreed state; the list of fronts goes first.
+/// Commands that update what the replicated state has in an earlier version than the configuration. The list of fronts
+/// goes first.
 fn outdated_settings(agreed: &AgreedState, settings: &FleetSettings) -> Vec<AgreedCommand> {
     if agreed.budgets.front_list_version() < settings.version {
         return vec![settings.front_list_command()];
--- a/core/fleet/src/node/lease.rs
+++ b/core/fleet/src/node/lease.rs
@@ -1,15 +1,16 @@
-//! The lease that this front holds: whom to ask for it and when, and what a response gives.
+//! The lease that this front holds: when to request it and from which front, and how responses are applied.
 
 use elmtide_budgets::{BudgetId, Clocks, Demand, Epoch, FrontId, Grant, LeaseHolder, LeaseResponse, Micros};
 
 use super::voting::VoterState;
-use super::{mix, Departure, FleetNode};
+use super::{splitmix64, Departure, FleetNode};
 use crate::message::Views;
 use crate::output::{Event, Output};
 
 /// Renewal intervals without a response after which another voter is asked.
 const UNANSWERED_INTERVALS: u64 = 2;
-/// A request to the next voter follows after between a quarter and a half of the renewal interval, drawn in this many steps.
+/// Resolution of the random delay between requests while no voter responds, which lies between a quarter and a half of
+/// the renewal interval.
 const JITTER_STEPS: u64 = 1000;
 
 /// The holder's side of the lease.
@@ -18,20 +19,20 @@
     pub demands: Vec<(BudgetId, Demand)>,
     pub next_request_at: Micros,
     last_request_at: Option<Micros>,
-    /// Who answered last.
+    /// The last front that granted a lease, asked for a renewal, or was named as the leader.
     pub leader: Option<FrontId>,
-    /// Place of the voter that is asked while no leader is known.
+    /// Index of the voter that is asked while no leader is known, modulo their number.
     next_voter: usize,
     pub has_contact: bool,
-    /// Version of the list of fronts in force, as far as this front was told; 0 before.
+    /// Version of the list of fronts in force, as told by the last response; 0 before the first one.
     pub front_list_version: u64,
     pub machines_version: u64,
     pub sites_version: u64,
-    /// What the caller has applied.
+    /// The epochs that the caller has applied.
     applied: AppliedEpochs,
 }
 
-/// Epochs that the caller spends by.
+/// The epochs of the quotas and guaranteed minimums that the caller uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct AppliedEpochs {
     quotas: Epoch,
@@ -59,7 +60,7 @@
         self.next_request_at = self.next_request_at.min(at);
     }
 
-    /// Requests soon, but no more often than each half tick, however often this is called.
+    /// Schedules a request as soon as possible, at most one per half tick no matter how often this is called.
     fn request_soon(&mut self, tick: Micros, now: Clocks) {
         let earliest = self.last_request_at.map_or(now.monotonic, |at| at + tick / 2);
         self.request_no_later_than(earliest.max(now.monotonic));
@@ -67,36 +68,38 @@
 }
 
 impl FleetNode {
-    /// What the front needs, from now on.
+    /// Sets the demands that are sent with lease requests.
     pub fn set_demands(&mut self, demands: Vec<(BudgetId, Demand)>) {
         self.lease.demands = demands;
     }
 
-    /// What the front reports on machines in maintenance, from now on. That it decides by another view, that it has drained
-    /// another machine, and that details are needed is reported at once.
+    /// Sets the report on machines in maintenance that is sent with lease requests. A request follows soon if the front
+    /// has acknowledged another view, has drained a further machine, or needs details or no longer does.
     pub fn report_maintenance(&mut self, report: elmtide_maintenance::MaintenanceReport, now: Clocks) {
-        let Some(before) = &mut self.reports.maintenance else { return };
-        let is_urgent = report.acknowledged != before.acknowledged
-            || report.drained.len() > before.drained.len()
-            || report.needs_details != before.needs_details;
-        *before = report;
+        let Some(previous) = &mut self.reports.maintenance else { return };
+        let is_urgent = report.acknowledged != previous.acknowledged
+            || report.drained.len() > previous.drained.len()
+            || report.needs_details != previous.needs_details;
+        *previous = report;
         if is_urgent {
             self.lease.request_soon(self.settings.tick, now);
         }
     }
 
-    /// What the front reports on other sites, from now on. Another opinion of a site, and that it decides by another view, is
-    /// reported at once.
+    /// Sets the report on other sites that is sent with lease requests. A request follows soon if an opinion of a site
+    /// or the view in use has changed.
     pub fn report_sites(&mut self, report: elmtide_sites::SiteReport, now: Clocks) {
-        let Some(before) = &mut self.reports.sites else { return };
-        let is_urgent = report.opinions != before.opinions || report.view_revision != before.view_revision;
-        *before = report;
+        let Some(previous) = &mut self.reports.sites else { return };
+        let is_urgent =
+            report.opinions != previous.opinions || report.view_revision != previous.view_revision;
+        *previous = report;
         if is_urgent {
             self.lease.request_soon(self.settings.tick, now);
         }
     }
 
-    /// The caller spends no more than by these epochs. A change is reported at once: other holders wait for it.
+    /// The caller uses no more than these epochs allow. A change is reported at once, because other holders wait for
+    /// it.
     pub fn on_applied(&mut self, quotas: Epoch, minimums: Epoch, now: Clocks) {
         let applied = AppliedEpochs { quotas, minimums };
         if applied != self.lease.applied {
@@ -107,18 +110,18 @@
         }
     }
 
-    /// Whom to ask: who leads, as far as it is known, or the voters in turns.
-    pub(super) fn whom_to_ask(&self) -> Option<FrontId> {
+    /// The front that receives requests: the leader if it is known, otherwise the voters in round-robin order.
+    pub(super) fn request_target(&self) -> Option<FrontId> {
         if self.is_leading() {
             return Some(self.own);
         }
-        let known_to_voter = match &self.voting {
+        let leader_known_to_voter = match &self.voting {
             VoterState::Active(_) => self.leader_front().filter(|leader| *leader != self.own),
             _ => None,
         };
         let voters = self.other_voters();
         let next_voter = || voters.get(self.lease.next_voter % voters.len().max(1)).copied();
-        known_to_voter.or(self.lease.leader).or_else(next_voter)
+        leader_known_to_voter.or(self.lease.leader).or_else(next_voter)
     }
 
     pub(super) fn request_lease(&mut self, now: Clocks) {
@@ -132,7 +135,7 @@
         if age.is_none_or(|age| age > UNANSWERED_INTERVALS * interval) {
             self.try_next_voter(interval, now);
         }
-        let Some(to) = self.whom_to_ask() else { return };
+        let Some(to) = self.request_target() else { return };
         self.lease.last_request_at = Some(now.monotonic);
         let request = self.lease.holder.request(&self.lease.demands, now);
         let reports = self.reports.clone();
@@ -143,12 +146,12 @@
         }
     }
 
-    /// A request that had no response goes to the next voter; while there is none, more often. Fronts that all lost the same
-    /// leader do not ask the next one at the same moment.
+    /// Switches to the next voter after a missing response, and schedules the next request earlier than a renewal. The
+    /// delay is random so that fronts that lost the same leader do not all ask the next voter at the same moment.
     fn try_next_voter(&mut self, interval: Micros, now: Clocks) {
         self.lease.leader = None;
         self.lease.next_voter = self.lease.next_voter.wrapping_add(1);
-        let jitter = mix(self.seed ^ self.lease.next_voter as u64) % JITTER_STEPS;
+        let jitter = splitmix64(self.seed ^ self.lease.next_voter as u64) % JITTER_STEPS;
         let delay = interval / 2 * (JITTER_STEPS / 2 + jitter / 2) / JITTER_STEPS;
         self.lease.next_request_at = now.monotonic + delay.max(1);
     }
@@ -180,7 +183,7 @@
             if from != self.own {
                 self.lease.leader = Some(from);
             }
-            self.note_front_list(response.front_list_version);
+            self.update_front_list_version(response.front_list_version);
             self.apply_grant(grant, views);
         }
         if let Some(minimums) = renewal.minimums {
@@ -188,7 +191,7 @@
         }
     }
 
-    fn note_front_list(&mut self, version: u64) {
+    fn update_front_list_version(&mut self, version: u64) {
         if version != self.lease.front_list_version {
             self.lease.front_list_version = version;
             self.report_event(Event::FrontListInForce { version });
@@ -199,22 +202,29 @@
         if grant.epoch > self.lease.applied.quotas {
             self.report_event(Event::LeaseGranted { epoch: grant.epoch, quotas: grant.quotas.len() });
         }
-        let (asked, ends) = (grant.requested_at, grant.expires_at);
+        let (lease_requested_at, lease_expires_at) = (grant.requested_at, grant.expires_at);
         if let Some(view) = views.sites {
             self.lease.sites_version = view.sites_version;
-            let leased = elmtide_sites::LeasedSiteView { view, requested_at: asked, expires_at: ends };
+            let leased = elmtide_sites::LeasedSiteView {
+                view,
+                requested_at: lease_requested_at,
+                expires_at: lease_expires_at,
+            };
             self.outputs.push_back(Output::ApplySiteView(leased));
         }
         if let Some(view) = views.maintenance {
             self.lease.machines_version = view.machines_version;
-            let leased =
-                elmtide_maintenance::LeasedMaintenanceView { view, requested_at: asked, expires_at: ends };
+            let leased = elmtide_maintenance::LeasedMaintenanceView {
+                view,
+                requested_at: lease_requested_at,
+                expires_at: lease_expires_at,
+            };
             self.outputs.push_back(Output::ApplyMaintenanceView(leased));
         }
         self.outputs.push_back(Output::ApplyGrant(grant));
     }
 
-    /// In contact is a front that was answered within a lease.
+    /// A front is in contact if a leader answered within the duration of a lease.
     pub(super) fn update_contact(&mut self, now: Clocks) {
         let age = self.lease.holder.last_renewal().map(|at| now.monotonic.saturating_sub(at));
         let has_contact = age.is_some_and(|age| age <= self.settings.lease.duration);
@@ -224,7 +234,7 @@
         }
     }
 
-    /// Whether a leader has answered within a lease.
+    /// Whether a leader has answered within the duration of a lease.
     pub fn has_contact(&self) -> bool {
         self.lease.has_contact
     }
--- a/core/fleet/src/node/replication.rs
+++ b/core/fleet/src/node/replication.rs
@@ -1,4 +1,4 @@
-//! The replicated log: what has to be synced and sent, and what follows once a command is applied.
+//! Driving the replicated log: what has to be synced and sent, and what follows once a command is applied.
 
 use elmtide_budgets::{Clocks, FrontId, LeaseResponse};
 use elmtide_consensus::records::StoredLog;
@@ -11,19 +11,20 @@
 use crate::message::{PeerMessage, Views};
 use crate::output::{Event, Output};
 
-/// Most messages of voters that wait while something is synced; further ones are lost, as on the way.
+/// Maximum number of voters' messages that are queued during a sync. Further ones are dropped, which the log tolerates
+/// like any lost message.
 const MAX_QUEUED_MESSAGES: usize = 512;
 
-/// Whether a store has synced what it was given.
+/// The result of a sync.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SyncResult {
-    /// It is on stable storage.
+    /// The data is on stable storage.
     Synced,
-    /// It is not, and can't be.
+    /// The data could not be synced.
     Failed,
 }
 
-/// Outcome of a command for the front that submitted it.
+/// The outcome of a command, for the front that submitted it.
 struct ClientOutcome {
     to: FrontId,
     id: CommandId,
@@ -35,20 +36,20 @@
         let sender = KnownVoter { id: message.from, has_log: true };
         self.known_voters.entry(from).or_insert(sender).id = message.from;
         if let VoterState::Active(active) = &mut self.voting {
-            if active.may_take_input() {
+            if active.accepts_input() {
                 active.voter.on_message(message);
-            } else if active.takes_part() && active.queued_messages.len() < MAX_QUEUED_MESSAGES {
+            } else if active.is_participating() && active.queued_messages.len() < MAX_QUEUED_MESSAGES {
                 active.queued_messages.push_back(message);
             }
         }
         self.run_log(now);
     }
 
-    /// Hands out what the log has to sync and send, up to the next update that has to be synced first.
+    /// Outputs what the log has to send and sync, until an update has to be synced before anything else.
     pub(super) fn run_log(&mut self, now: Clocks) {
         loop {
             let VoterState::Active(active) = &mut self.voting else { return };
-            if !active.may_take_input() {
+            if !active.accepts_input() {
                 return;
             }
             let Some(ready) = active.voter.ready() else { return };
@@ -66,7 +67,7 @@
         }
     }
 
-    /// The last `SyncLog` or `SyncVoterId` has ended; if it failed, this node does not vote any more.
+    /// Reports the result of the last `SyncLog` or `SyncVoterId`. If it failed, this node stops voting.
     pub fn on_synced(&mut self, result: SyncResult, now: Clocks) {
         if result == SyncResult::Failed {
             self.voting = VoterState::Failed;
@@ -74,7 +75,7 @@
             return;
         }
         match std::mem::replace(&mut self.voting, VoterState::NotVoting) {
-            VoterState::ChoosingId(id) => {
+            VoterState::SyncingId(id) => {
                 self.voting = match ActiveVoter::new(id, StoredLog::default()) {
                     Ok(active) => VoterState::Active(active),
                     Err(_) => VoterState::Failed,
@@ -90,26 +91,26 @@
     }
 
     fn on_log_synced(&mut self, mut active: Box<ActiveVoter>, now: Clocks) {
-        if let Some(first) = active.bootstrapping.take() {
+        if let Some(first_snapshot) = active.bootstrapping.take() {
             let mut log = StoredLog::default();
-            log.apply(&first);
+            log.apply(&first_snapshot);
             match ActiveVoter::new(active.voter.id(), log) {
-                Ok(begun) => self.finish_bootstrap(begun),
+                Ok(bootstrapped) => self.finish_bootstrap(bootstrapped),
                 Err(_) => self.voting = VoterState::Failed,
             }
             return;
         }
-        let synced = active.syncing.take();
-        let progress = synced.map(|ready| active.voter.advance(ready));
+        let synced_update = active.syncing.take();
+        let progress = synced_update.map(|ready| active.voter.advance(ready));
         self.voting = VoterState::Active(active);
         if let Some(progress) = progress {
             self.on_progress(progress, now);
-            self.process_queued(now);
+            self.process_queued_input(now);
         }
     }
 
-    /// Takes in what came while something was synced, up to the next sync.
-    fn process_queued(&mut self, now: Clocks) {
+    /// Processes the messages and commands that arrived during a sync, until the next sync starts.
+    fn process_queued_input(&mut self, now: Clocks) {
         self.run_log(now);
         loop {
             let VoterState::Active(active) = &mut self.voting else { return };
@@ -125,7 +126,7 @@
             }
             self.run_log(now);
         }
-        // Lease requests that came meanwhile wait for a read.
+        // Lease requests that arrived during the sync wait for a read.
         if self.is_leading() {
             self.begin_lease_read();
             self.run_log(now);
@@ -144,8 +145,8 @@
         self.known_voters.iter().find(|(_, voter)| voter.id == id).map(|(front, _)| *front)
     }
 
-    /// What follows once an update was synced: messages, outcomes for those who submitted commands, and answers to lease
-    /// requests whose read was acknowledged.
+    /// Handles the log's progress: sends its messages, the outcomes of applied commands, and the answers to lease
+    /// requests whose reads were acknowledged. Plans again if a command was applied.
     fn on_progress(&mut self, progress: Progress<AgreedState>, now: Clocks) {
         self.send_raft_messages(progress.messages);
         if !progress.compaction.is_empty() {
@@ -167,7 +168,8 @@
         }
     }
 
-    /// Reports an applied command as the leader, and gives its outcome for the front that waits for it.
+    /// As the leader, reports an applied command and updates the allocator. Returns the outcome if a front waits for
+    /// it.
     fn on_applied_command(&mut self, applied: &AppliedCommand<AgreedState>) -> Option<ClientOutcome> {
         let VoterState::Active(active) = &mut self.voting else { return None };
         if let Some(leadership) = &mut active.leadership {
@@ -186,6 +188,7 @@
         }
     }
 
+    /// The responses, with their views, to the lease requests whose reads were acknowledged.
     fn answer_reads(&mut self, reads: &[u64], now: Clocks) -> Vec<(LeaseResponse, Views)> {
         let VoterState::Active(active) = &mut self.voting else { return Vec::new() };
         let Some(leadership) = &mut active.leadership else { return Vec::new() };
@@ -221,7 +224,7 @@
     }
 }
 
-/// What a leader reports of an applied command.
+/// The event that a leader reports for an applied command, if any.
 fn applied_event(applied: &AppliedCommand<AgreedState>) -> Option<Event> {
     match (&applied.command, &applied.outcome) {
         (AgreedCommand::Sites(command), Some(CommandOutcome::Sites(Ok(())))) => site_event(command),
@@ -239,12 +242,12 @@
 
 fn site_event(command: &elmtide_sites::SiteCommand) -> Option<Event> {
     use elmtide_sites::{RecoveryPhase, SiteCommand};
-    let (site, standing) = match command {
+    let (site, phase) = match command {
         SiteCommand::DeclareLost { site, .. } | SiteCommand::OverrideByOperator { site, lost: true, .. } => {
             (*site, RecoveryPhase::Lost)
         }
         SiteCommand::AdvanceRecovery { site, to, .. } => (*site, *to),
         _ => return None,
     };
-    Some(Event::SiteChanged { site, standing })
+    Some(Event::SiteChanged { site, phase })
 }
--- a/core/fleet/src/node/status.rs
+++ b/core/fleet/src/node/status.rs
@@ -1,4 +1,4 @@
-//! What a node shows of itself and the fleet to operators.
+//! The status of a node and the fleet that is shown to operators.
 
 use std::collections::BTreeMap;
 
@@ -12,33 +12,33 @@
 use super::FleetNode;
 use crate::datagram::DropReason;
 
-/// What a node does for the replicated log.
+/// The role of a node in the replicated log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NodeRole {
-    /// It has no vote.
+    /// The node has no vote.
     NonVoter,
-    /// It has no vote, for want of a durable store.
+    /// The node has no vote because it has no durable store.
     NonVoterWithoutStore,
-    /// Its new store is being prepared.
+    /// The voter id of its new store is being synced.
     Starting,
-    /// Its store has failed or is stale.
+    /// Its store has failed or is stale, so it does not vote.
     Failed,
-    /// It asks the others whether its store is the latest.
+    /// It has restarted and asks the other voters whether its store is the latest.
     OnProbation,
-    /// Its store is new: it waits until the leader admits it.
+    /// Its store is new, and it waits for the leader to admit it.
     AwaitingAdmission,
-    /// It leads.
+    /// It is the leader.
     Leader,
-    /// It was elected, and does not know yet what was committed before.
+    /// It was elected, but does not know yet everything that was committed before.
     UnconfirmedLeader,
-    /// It seeks a leader.
+    /// It asks for votes.
     Candidate,
     /// It follows the leader.
     Follower,
 }
 
 impl NodeRole {
-    /// Its name in status output.
+    /// The name of this role in status output.
     pub fn name(self) -> &'static str {
         match self {
             NodeRole::NonVoter => "no vote",
@@ -55,64 +55,64 @@
     }
 }
 
-/// A quota of the agreed state.
+/// A quota in the replicated state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AgreedQuota {
-    /// Whose.
+    /// The holder of the quota.
     pub holder: HolderId,
-    /// Of which budget.
+    /// The budget that it is a part of.
     pub budget: BudgetId,
-    /// What the holder may still be using.
+    /// The part of the budget that the holder may still be using.
     pub committed: PartsPerMillion,
-    /// What it is told to use.
+    /// The part that the holder is told to use.
     pub granted: PartsPerMillion,
 }
 
-/// A guaranteed minimum of the agreed state.
+/// A guaranteed minimum in the replicated state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AgreedMinimum {
-    /// Whose.
+    /// The front that has the minimum.
     pub front: FrontId,
-    /// Of which budgets.
+    /// The kind of budgets that it applies to.
     pub kind: BudgetKind,
-    /// What the front may still be using.
+    /// The part of each such budget that the front may still be using.
     pub committed: PartsPerMillion,
-    /// What it is told to use.
+    /// The part that the front is told to use.
     pub granted: PartsPerMillion,
 }
 
-/// What a node shows of itself and the fleet.
+/// The status of a node and of the fleet as this node knows it.
 #[derive(Clone, Debug)]
 pub struct NodeStatus {
-    /// This front.
+    /// The front of this node.
     pub front: FrontId,
     /// Its incarnation.
     pub incarnation: u64,
-    /// What it does for the log.
+    /// Its role in the replicated log.
     pub role: NodeRole,
-    /// The log's term, as far as it is known here; 0 without a vote.
+    /// The log's term as known to this node; 0 without a vote.
     pub term: u64,
-    /// Who leads, as far as it is known here.
+    /// The leader, if this node knows it.
     pub leader: Option<FrontId>,
-    /// Since a leader's last response; `None` if there never was one.
+    /// Time since a leader last granted or renewed the lease; `None` if none ever did.
     pub response_age: Option<Micros>,
-    /// Whether a leader has answered within a lease.
+    /// Whether a leader has answered within the duration of a lease.
     pub has_contact: bool,
-    /// Version of the list of fronts in force.
+    /// Version of the list of fronts in force, as known to this node.
     pub front_list_version: u64,
-    /// Version of the configuration's list.
+    /// Version of this node's configuration.
     pub configured_version: u64,
-    /// All fronts that have been seen.
+    /// The failure detector's view of all fronts that have been seen.
     pub fronts: BTreeMap<FrontId, MemberStatus>,
-    /// Datagrams that were dropped, by reason.
+    /// Number of dropped datagrams by reason.
     pub dropped: BTreeMap<DropReason, u64>,
-    /// Entries that the log holds.
+    /// Number of entries in the log.
     pub log_entries: u64,
-    /// Index of the last command that was applied.
+    /// Index of the last applied entry.
     pub applied_index: u64,
-    /// All quotas, if this node has the agreed state.
+    /// All quotas; empty if this node has no replicated state.
     pub quotas: Vec<AgreedQuota>,
-    /// All guaranteed minimums, if this node has the agreed state.
+    /// All guaranteed minimums; empty if this node has no replicated state.
     pub minimums: Vec<AgreedMinimum>,
 }
 
@@ -124,22 +124,22 @@
         }
     }
 
-    /// The agreed state of budgets, if this node has one.
+    /// The replicated state of budgets; `None` if this node has none.
     pub fn budgets(&self) -> Option<&BudgetState> {
         self.active_voter().map(|active| &active.voter.state_machine().budgets)
     }
 
-    /// The agreed state of sites, if this node has one.
+    /// The replicated state of sites; `None` if this node has none.
     pub fn sites(&self) -> Option<&elmtide_sites::SiteState> {
         self.active_voter().map(|active| &active.voter.state_machine().sites)
     }
 
-    /// The agreed state of machines in maintenance, if this node has one.
+    /// The replicated state of machines in maintenance; `None` if this node has none.
     pub fn maintenance(&self) -> Option<&elmtide_maintenance::MaintenanceState> {
         self.active_voter().map(|active| &active.voter.state_machine().maintenance)
     }
 
-    /// Who leads, as far as it is known here.
+    /// The leader, if this node knows it.
     pub fn known_leader(&self) -> Option<FrontId> {
         if self.is_leading() {
             Some(self.own)
@@ -148,21 +148,22 @@
         }
     }
 
-    /// Datagrams that were dropped, by reason.
+    /// Number of dropped datagrams by reason.
     pub fn dropped(&self) -> &BTreeMap<DropReason, u64> {
         &self.codec.dropped
     }
 
-    /// Every front that has been seen: a hint.
+    /// The failure detector's view of every front that has been seen. A hint only; no invariant depends on
+    /// it.
     pub fn members(&self) -> BTreeMap<FrontId, MemberStatus> {
         self.detector.members().into_iter().map(|(front, status)| (FrontId(front), status)).collect()
     }
 
     fn role(&self) -> NodeRole {
         match &self.voting {
-            VoterState::NotVoting if self.is_durable => NodeRole::NonVoter,
+            VoterState::NotVoting if self.has_durable_store => NodeRole::NonVoter,
             VoterState::NotVoting => NodeRole::NonVoterWithoutStore,
-            VoterState::ChoosingId(_) => NodeRole::Starting,
+            VoterState::SyncingId(_) => NodeRole::Starting,
             VoterState::Failed => NodeRole::Failed,
             VoterState::Active(active) if active.probation.is_some() => NodeRole::OnProbation,
             VoterState::Active(active) if !active.has_log() => NodeRole::AwaitingAdmission,
@@ -175,7 +176,7 @@
         }
     }
 
-    /// What is shown to operators now.
+    /// The current status.
     pub fn status(&self, now: Clocks) -> NodeStatus {
         let voter = self.active_voter().map(|active| &active.voter);
         let last_renewal = self.lease.holder.last_renewal();
--- a/core/fleet/src/node/voting.rs
+++ b/core/fleet/src/node/voting.rs
@@ -1,4 +1,4 @@
-//! Where this node stands with its vote.
+//! The state of this node's vote.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -8,42 +8,44 @@
 
 use crate::agreed_state::{AgreedCommand, AgreedState};
 
-/// Ticks for which a restarted voter waits for word of a later incarnation of its own before it votes, if not all others have
-/// answered; see [`FleetNode`](super::FleetNode).
+/// Probation period of a restarted voter, in ticks. After it, confirmations from a majority are enough; see
+/// [`FleetNode`](super::FleetNode).
 const PROBATION_TICKS: u64 = 20;
 
-/// Where this node stands with its vote.
+/// The state of this node's vote.
 pub(super) enum VoterState {
-    /// It has no vote.
+    /// The node has no vote.
     NotVoting,
-    /// The id of its new store is being synced.
-    ChoosingId(VoterId),
-    /// It takes part, or is about to.
+    /// The voter id of its new store is being synced.
+    SyncingId(VoterId),
+    /// The voter runs; it may still be on probation or waiting for its first snapshot.
     Active(Box<ActiveVoter>),
-    /// Its store has failed or is stale: it does not vote any more.
+    /// Its store has failed or is stale, so it no longer votes.
     Failed,
 }
 
-/// A voter with everything that waits for its storage.
+/// A voter, and everything that waits for its storage.
 pub(super) struct ActiveVoter {
     pub voter: Voter<AgreedState>,
-    /// Its update is being synced: until then the log takes no input.
+    /// Its update is being synced; the log accepts no input until that has completed.
     pub syncing: Option<Ready>,
-    /// What came meanwhile.
+    /// Messages of other voters that arrived during the sync.
     pub queued_messages: VecDeque<Message>,
+    /// Commands that arrived during the sync.
     pub queued_commands: Vec<QueuedCommand>,
-    /// The first snapshot of a new log, being synced.
+    /// The first snapshot of a new log while it is being synced.
     pub bootstrapping: Option<StorageUpdate>,
     /// `None` once it may vote.
     pub probation: Option<Probation>,
-    /// `Some` while it leads.
+    /// `Some` while this voter is the leader.
     pub leadership: Option<Leadership>,
+    /// The tick at which the leader plans next.
     pub next_plan_tick: u64,
-    /// Whom to tell the outcome of a command.
+    /// The front that waits for the outcome of each proposed command.
     pub waiting_clients: BTreeMap<CommandKey, FrontId>,
 }
 
-/// A command that came while the log took no input.
+/// A command that arrived while the log accepted no input.
 pub(super) struct QueuedCommand {
     pub from: FrontId,
     pub id: CommandId,
@@ -64,15 +66,15 @@
     }
 }
 
-/// The time in which a restarted voter does not know yet whether its store is the latest.
+/// State of a restarted voter that does not know yet whether its store is the latest.
 pub(super) struct Probation {
-    /// The tick after which a majority is enough.
+    /// The tick from which confirmations from a majority are enough.
     pub ends_at_tick: u64,
-    /// Voters that have seen no later incarnation.
-    pub vouched: Vec<FrontId>,
+    /// Fronts that have seen no later incarnation of this one.
+    pub confirmed_by: Vec<FrontId>,
 }
 
-/// What a leader has beside the log: new with each term.
+/// The leader's state outside the log; it starts anew with each term.
 pub(super) struct Leadership {
     pub term: u64,
     pub allocator: LeaseAllocator,
@@ -81,7 +83,7 @@
 }
 
 impl ActiveVoter {
-    /// A voter that may vote at once: its store is new, and so has no vote that could count twice.
+    /// A voter that may vote at once: its store is new, so it has cast no vote that could be counted twice.
     pub(super) fn new(id: VoterId, log: StoredLog) -> Result<Box<ActiveVoter>, RestoreError> {
         Ok(Box::new(ActiveVoter {
             voter: Voter::restore(id, log)?,
@@ -96,29 +98,29 @@
         }))
     }
 
-    /// A voter of a store from before, which has to ask the others first.
+    /// A voter restored from an existing store, which has to ask the other voters first.
     pub(super) fn on_probation(id: VoterId, log: StoredLog) -> Result<Box<ActiveVoter>, RestoreError> {
         let mut voter = ActiveVoter::new(id, log)?;
-        voter.probation = Some(Probation { ends_at_tick: PROBATION_TICKS, vouched: Vec::new() });
+        voter.probation = Some(Probation { ends_at_tick: PROBATION_TICKS, confirmed_by: Vec::new() });
         Ok(voter)
     }
 
-    /// It may vote, and is not just beginning a log.
-    pub(super) fn takes_part(&self) -> bool {
+    /// Whether it may vote, and is not syncing the first snapshot of a new log.
+    pub(super) fn is_participating(&self) -> bool {
         self.probation.is_none() && self.bootstrapping.is_none()
     }
 
-    /// It takes part, and nothing is being synced.
-    pub(super) fn may_take_input(&self) -> bool {
-        self.syncing.is_none() && self.takes_part()
+    /// Whether it participates, and nothing is being synced.
+    pub(super) fn accepts_input(&self) -> bool {
+        self.syncing.is_none() && self.is_participating()
     }
 
-    /// It has taken part in a log, or been admitted to one.
+    /// Whether it has taken part in a log, or been admitted to one.
     pub(super) fn has_log(&self) -> bool {
         self.voter.applied_index() > 0
     }
 
-    /// It leads, and knows everything that was committed before.
+    /// Whether it is the leader, and knows everything that was committed before its term.
     pub(super) fn is_leading(&self) -> bool {
         self.leadership.is_some() && self.voter.role() == Role::Leader
     }
--- a/core/fleet/src/output.rs
+++ b/core/fleet/src/output.rs
@@ -1,4 +1,4 @@
-//! What a node's caller has to do.
+//! The actions that a node's caller has to carry out, and the events that it reports.
 
 use elmtide_budgets::{Epoch, FrontId, Grant, GuaranteedMinimums};
 use elmtide_consensus::records::StorageUpdate;
@@ -9,51 +9,54 @@
 
 use crate::agreed_state::CommandOutcome;
 
-/// Something to be done, in the order of [`FleetNode::poll_output`](crate::FleetNode::poll_output).
+/// An action for the caller. Actions are carried out in the order in which
+/// [`FleetNode::poll_output`](crate::FleetNode::poll_output) returns them.
 #[derive(Debug)]
 pub enum Output {
-    /// Send a datagram.
+    /// Send a datagram to a front.
     Send(FrontId, Vec<u8>),
-    /// Sync the update, then call [`FleetNode::on_synced`](crate::FleetNode::on_synced). Nothing else of the log happens
-    /// meanwhile.
+    /// Sync the update, then call [`FleetNode::on_synced`](crate::FleetNode::on_synced). The log does nothing else
+    /// until then.
     SyncLog(StorageUpdate),
-    /// Sync the update without haste.
+    /// Sync the update. It is not urgent and is not confirmed with
+    /// [`FleetNode::on_synced`](crate::FleetNode::on_synced).
     CompactLog(StorageUpdate),
-    /// Sync this store's voter id before it is used, then call [`FleetNode::on_synced`](crate::FleetNode::on_synced).
+    /// Sync the voter id of this store, then call [`FleetNode::on_synced`](crate::FleetNode::on_synced). The id is not
+    /// used before.
     SyncVoterId(VoterId),
-    /// The store is not the latest of this front: empty it, and start a new node.
+    /// The store is not the latest one of this front: empty it and start a new node.
     ResetStore,
-    /// Spend by these quotas from now on, then call [`FleetNode::on_applied`](crate::FleetNode::on_applied).
+    /// Use these quotas from now on, then call [`FleetNode::on_applied`](crate::FleetNode::on_applied).
     ApplyGrant(Grant),
-    /// Sync these minimums and spend by them, then call [`FleetNode::on_applied`](crate::FleetNode::on_applied).
+    /// Sync these guaranteed minimums and use them, then call [`FleetNode::on_applied`](crate::FleetNode::on_applied).
     ApplyMinimums(GuaranteedMinimums),
-    /// Exclude these machines from now on.
+    /// Use this view of machines in maintenance from now on.
     ApplyMaintenanceView(elmtide_maintenance::LeasedMaintenanceView),
-    /// These sites are lost from now on.
+    /// Use this view of lost and recovering sites from now on.
     ApplySiteView(elmtide_sites::LeasedSiteView),
-    /// The outcome of a command that was requested under this tag.
+    /// The outcome of the command that was requested with this tag.
     CommandEnded(u64, CommandOutcome),
-    /// Something that operators may want to know.
+    /// An event to be logged.
     Event(Event),
 }
 
-/// What a command of this front was, for the log.
+/// The kind of a command that this front submitted, for log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CommandSummary {
-    /// The list of fronts.
+    /// Updates the list of fronts.
     FrontList,
-    /// This front leaves.
+    /// This front leaves the fleet.
     Leave,
-    /// An unlisted front is removed.
+    /// Removes a front that is not in the list.
     RemoveFront,
-    /// The machines or the sites of the configuration.
+    /// Updates the machines or the sites.
     Layout,
-    /// Any other.
+    /// Any other command.
     Other,
 }
 
 impl CommandSummary {
-    /// Its name in log lines.
+    /// The name of this kind in log lines.
     pub fn name(self) -> &'static str {
         match self {
             CommandSummary::FrontList => "list",
@@ -65,73 +68,73 @@
     }
 }
 
-/// Something that operators may want to know.
+/// Something that operators may want to know about.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// This node leads.
+    /// This node has become the leader.
     LeadershipGained {
-        /// Since this term.
+        /// The term that it leads.
         term: u64,
     },
-    /// This node leads no more.
+    /// This node is no longer the leader.
     LeadershipLost {
         /// Its last term as leader.
         term: u64,
     },
-    /// The first voters have begun a new log.
+    /// The first voters have started a new log.
     LogBootstrapped {
-        /// Number of voters.
+        /// The number of voters.
         voters: usize,
     },
-    /// A leader answers.
+    /// A leader answers lease requests.
     ContactGained,
-    /// No leader has answered for a lease.
+    /// No leader has answered for the duration of a lease.
     ContactLost,
-    /// Another list of fronts is in force.
+    /// A different list of fronts is in force.
     FrontListInForce {
         /// Its version.
         version: u64,
     },
-    /// Another node has seen a later incarnation of this front.
+    /// Another node has seen a later incarnation of this front, so this store is not the latest.
     StoreStale {
         /// That incarnation.
         seen_incarnation: u64,
     },
-    /// The store has failed: this node does not vote any more.
+    /// The store has failed; this node stops voting.
     StoreFailed,
-    /// A front votes with another store.
+    /// A front votes with a different store than before.
     VoterReplaced {
         /// The front.
         front: FrontId,
     },
-    /// A lease with new quotas.
+    /// A lease with new quotas was granted.
     LeaseGranted {
-        /// Epoch of the quotas.
+        /// The epoch of the quotas.
         epoch: Epoch,
-        /// Number of quotas.
+        /// The number of quotas.
         quotas: usize,
     },
-    /// A command of this front has been applied.
+    /// A command that this front submitted has been applied.
     CommandApplied {
-        /// Whether it did nothing.
+        /// Whether it was rejected and changed nothing.
         rejected: bool,
-        /// What it was.
+        /// The kind of command.
         command: CommandSummary,
     },
-    /// This front has left in order.
+    /// This front has completed an orderly departure from the fleet.
     Left,
-    /// A site's standing has changed; reported by the leader.
+    /// The phase of a site's loss and recovery has changed; reported by the leader.
     SiteChanged {
         /// The site.
         site: SiteId,
-        /// Its new standing.
-        standing: RecoveryPhase,
+        /// Its new phase.
+        phase: RecoveryPhase,
     },
-    /// A machine in maintenance has advanced; reported by the leader.
+    /// A machine in maintenance has taken a step; reported by the leader.
     MachineAdvanced {
         /// The machine.
         machine: MachineId,
-        /// Its step.
+        /// The step that it took.
         step: Step,
     },
 }
--- a/core/fleet/src/settings.rs
+++ b/core/fleet/src/settings.rs
@@ -1,4 +1,4 @@
-//! What the configuration says of the fleet, and what a node recovers from its store.
+//! The fleet's configuration, and what a node recovers from its store.
 
 use elmtide_budgets::{
     BudgetCommand, BudgetKind, FrontId, GuaranteedMinimums, LeaseSettings, Micros, MinimumRule,
@@ -9,42 +9,42 @@
 
 use crate::agreed_state::AgreedCommand;
 
-/// A front as the configuration names it.
+/// A front of the configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FrontSettings {
-    /// By its name.
+    /// The id, derived from its name.
     pub id: FrontId,
-    /// Where it is.
+    /// The number of its site.
     pub site: u16,
     /// Whether it has a vote.
     pub is_voter: bool,
 }
 
-/// The machines that may go into maintenance, and how many of them at once.
+/// The machines that may go into maintenance, and how many of them at a time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MaintenanceSettings {
     /// All machines.
     pub machines: Vec<MachineSpec>,
-    /// How many may be out together.
-    pub bounds: DisruptionBudget,
+    /// Limits the machines that may be in maintenance at the same time.
+    pub disruption_budget: DisruptionBudget,
 }
 
-/// What the configuration says of the fleet: the same at all fronts, by its version.
+/// The configuration of the fleet; the same at all fronts for a given version.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetSettings {
-    /// Of the configuration; a higher one takes the place of a lower.
+    /// Version of the configuration; a higher version replaces a lower one.
     pub version: u64,
     /// All fronts.
     pub fronts: Vec<FrontSettings>,
-    /// The guaranteed minimums by kind of budget.
+    /// The rule for guaranteed minimums, for each kind of budget.
     pub minimums: Vec<(BudgetKind, MinimumRule)>,
-    /// The times that leases go by.
+    /// Durations and clock tolerances of leases.
     pub lease: LeaseSettings,
-    /// The unit of the timeouts of elections.
+    /// Duration of a tick, the unit of election timeouts and other intervals.
     pub tick: Micros,
-    /// `None` where maintenance is off.
+    /// `None` if maintenance is disabled.
     pub maintenance: Option<MaintenanceSettings>,
-    /// `None` where sites are not watched.
+    /// `None` if site failover is disabled.
     pub sites: Option<elmtide_sites::FailoverSettings>,
 }
 
@@ -64,25 +64,25 @@
         })
     }
 
-    /// The command that puts the machines into force, where maintenance is on.
+    /// The command that puts the machines into force; `None` if maintenance is disabled.
     pub(crate) fn machines_command(&self) -> Option<AgreedCommand> {
-        let MaintenanceSettings { machines, bounds } = self.maintenance.clone()?;
+        let MaintenanceSettings { machines, disruption_budget } = self.maintenance.clone()?;
         let version = self.version;
         Some(AgreedCommand::Maintenance(elmtide_maintenance::MaintenanceCommand::UpdateMachines {
             version,
             machines,
-            budget: bounds,
+            budget: disruption_budget,
         }))
     }
 
-    /// The command that puts the sites into force, where they are watched.
+    /// The command that puts the sites into force; `None` if site failover is disabled.
     pub(crate) fn sites_command(&self) -> Option<AgreedCommand> {
-        let rules = self.sites.as_ref()?;
+        let failover = self.sites.as_ref()?;
         Some(AgreedCommand::Sites(elmtide_sites::SiteCommand::UpdateSites {
             version: self.version,
-            sites: rules.sites,
-            patience_ms: rules.patience_ms,
-            max_patience_ms: rules.max_patience_ms,
+            sites: failover.sites,
+            patience_ms: failover.patience_ms,
+            max_patience_ms: failover.max_patience_ms,
         }))
     }
 }
@@ -91,29 +91,30 @@
 pub struct NodeConfig {
     /// This front.
     pub own: FrontId,
-    /// In every MAC: datagrams of another installation are dropped.
+    /// The installation's name. It goes into every MAC, so that datagrams of another installation are dropped.
     pub installation: String,
     /// The installation's key.
     pub key: Vec<u8>,
-    /// What the configuration says.
+    /// The configuration.
     pub settings: FleetSettings,
-    /// From the store, with an incarnation that is higher than any before; the default without a store.
+    /// What the store has kept, with an incarnation that is higher than any before; the default without a store.
     pub recovered: RecoveredState,
-    /// Of everything that is drawn at random.
+    /// Seed of all random choices.
     pub seed: u64,
 }
 
 /// What a store has kept for this front.
 #[derive(Clone, Debug, Default)]
 pub struct RecoveredState {
-    /// Of the run that begins now.
+    /// The incarnation of the run that starts now.
     pub incarnation: u64,
-    /// Whether there is a durable store: without one there is no vote, and no guaranteed minimum before the first response.
+    /// Whether there is a durable store. Without one the front has no vote, and no guaranteed minimum before the first
+    /// lease response.
     pub durable: bool,
-    /// The id of the store, if it has voted.
+    /// The voter id of the store, if it has one.
     pub voter: Option<VoterId>,
     /// The replicated log.
     pub log: StoredLog,
-    /// What the front may spend with or without a lease.
+    /// The guaranteed minimums, which the front may use with or without a lease.
     pub minimums: GuaranteedMinimums,
 }
--- a/core/fleet/tests/golden.rs
+++ b/core/fleet/tests/golden.rs
@@ -1,4 +1,5 @@
-//! Encodings that members send each other, and of the state that they agree on.
+//! The encodings of the messages between nodes, of commands and of the replicated state stay as they are, byte for
+//! byte.
 
 use elmtide_budgets::{BudgetCommand, BudgetId, BudgetKind, Demand, Epoch, FrontId, HolderId, Incarnation};
 use elmtide_budgets::{CommandRejected, ConfirmedReduction, MinimumRule};
@@ -16,7 +17,7 @@
     DisruptionBudget, JobId, MachineId, MachineSpec, MaintenanceReport, MaintenanceView, ReturnPolicy, Stage,
 };
 use elmtide_sites::report::SiteViewEntry;
-use elmtide_sites::{Reachability as SiteLooks, SiteOpinion as SiteWord};
+use elmtide_sites::{Reachability, SiteOpinion};
 use elmtide_sites::{RecoveryPhase, SiteId};
 
 fn golden(name: &str) -> GoldenFile {
@@ -27,7 +28,7 @@
     HolderId { front: FrontId(front), incarnation: Incarnation(3) }
 }
 
-fn key(kind: BudgetKind) -> BudgetId {
+fn budget_id(kind: BudgetKind) -> BudgetId {
     BudgetId { kind, resource: 77 }
 }
 
@@ -35,24 +36,24 @@
     MachineId::from_name(&format!("m{n}"))
 }
 
-fn ask() -> LeaseRequest {
+fn lease_request() -> LeaseRequest {
     let demand = Demand { high: 5, low: 600_000, unit: 1000, refill_ms: 250 };
-    let wants = BudgetKind::ALL.into_iter().map(|kind| (key(kind), demand)).collect();
+    let demand_of_each_kind = BudgetKind::ALL.into_iter().map(|kind| (budget_id(kind), demand)).collect();
     LeaseRequest {
         holder: holder(1),
         request_id: 99,
         quota_epoch: Epoch(12),
         minimums_epoch: Epoch(4),
-        demands: wants,
+        demands: demand_of_each_kind,
     }
 }
 
-fn answer() -> LeaseResponse {
+fn lease_response() -> LeaseResponse {
     LeaseResponse {
         holder: holder(1),
         request_id: 99,
         epoch: Epoch(13),
-        quotas: vec![(key(BudgetKind::Retries), 250_000), (key(BudgetKind::OriginFetches), 1)],
+        quotas: vec![(budget_id(BudgetKind::Retries), 250_000), (budget_id(BudgetKind::OriginFetches), 1)],
         minimums_epoch: Epoch(5),
         minimums: vec![(BudgetKind::ShopRate, 10_000)],
         duration: 3_000_000,
@@ -60,9 +61,9 @@
     }
 }
 
-fn work_said() -> MaintenanceReport {
-    let sight = |looks, attempt_outcome| MachineObservation {
-        state: looks,
+fn maintenance_report() -> MaintenanceReport {
+    let observation = |observed_state, attempt_outcome| MachineObservation {
+        state: observed_state,
         started_at_ms: 1_700_000_000_000,
         warm_percent: 40,
         load: 900,
@@ -72,17 +73,17 @@
         acknowledged: Some(Epoch(6)),
         drained: vec![machine(1)],
         observations: vec![
-            (machine(1), sight(ObservedState::Ready, AttemptOutcome::NoneSent)),
-            (machine(2), sight(ObservedState::Draining, AttemptOutcome::NoneSucceeded)),
-            (machine(3), sight(ObservedState::Failing, AttemptOutcome::Succeeded)),
-            (machine(4), sight(ObservedState::Absent, AttemptOutcome::Succeeded)),
+            (machine(1), observation(ObservedState::Ready, AttemptOutcome::NoneSent)),
+            (machine(2), observation(ObservedState::Draining, AttemptOutcome::NoneSucceeded)),
+            (machine(3), observation(ObservedState::Failing, AttemptOutcome::Succeeded)),
+            (machine(4), observation(ObservedState::Absent, AttemptOutcome::Succeeded)),
         ],
         is_overloaded: true,
         needs_details: true,
     }
 }
 
-fn way(stage: Stage) -> MachineProgress {
+fn machine_progress(stage: Stage) -> MachineProgress {
     MachineProgress {
         job: JobId(2),
         stage,
@@ -98,7 +99,7 @@
     }
 }
 
-fn waits() -> Vec<WaitReason> {
+fn wait_reasons() -> Vec<WaitReason> {
     vec![
         WaitReason::JobPaused,
         WaitReason::DisruptionLimit(DisruptionLimit::Location),
@@ -125,7 +126,7 @@
     ]
 }
 
-fn work_view() -> MaintenanceView {
+fn maintenance_view() -> MaintenanceView {
     let job = Job {
         requested_by: "ops".into(),
         reason: "kernel".into(),
@@ -141,8 +142,8 @@
     };
     let details = MaintenanceDetails {
         jobs: vec![(JobId(2), job)],
-        progress: Stage::ALL.into_iter().map(|stage| (machine(1), way(stage))).collect(),
-        wait_reasons: waits().into_iter().map(|wait| (machine(2), wait)).collect(),
+        progress: Stage::ALL.into_iter().map(|stage| (machine(1), machine_progress(stage))).collect(),
+        wait_reasons: wait_reasons().into_iter().map(|reason| (machine(2), reason)).collect(),
         lost: vec![machine(3)],
         median_duration_ms: Some(60_000),
         now_ms: 1_700_000_000_123,
@@ -160,17 +161,17 @@
     }
 }
 
-fn site_words() -> Vec<(SiteId, SiteWord)> {
-    let word = |fronts, boxes| SiteWord { fronts, caches: boxes };
+fn site_opinions() -> Vec<(SiteId, SiteOpinion)> {
+    let opinion = |fronts, cache_reachability| SiteOpinion { fronts, caches: cache_reachability };
     vec![
-        (SiteId(1), word(SiteLooks::Unreachable, SiteLooks::Unreachable)),
-        (SiteId(2), word(SiteLooks::Reachable, SiteLooks::Degraded)),
+        (SiteId(1), opinion(Reachability::Unreachable, Reachability::Unreachable)),
+        (SiteId(2), opinion(Reachability::Reachable, Reachability::Degraded)),
     ]
 }
 
-fn sites_said() -> elmtide_sites::SiteReport {
+fn site_report() -> elmtide_sites::SiteReport {
     elmtide_sites::SiteReport {
-        opinions: site_words(),
+        opinions: site_opinions(),
         view_revision: Some(4),
         has_caught_up: true,
         caches_warm: false,
@@ -178,7 +179,7 @@
     }
 }
 
-fn sites_view() -> elmtide_sites::SiteView {
+fn site_view() -> elmtide_sites::SiteView {
     let entry = |phase| SiteViewEntry { phase, since_ms: 1_700_000_000_000, by_operator: true };
     let sites = RecoveryPhase::ALL.into_iter().map(entry).collect();
     elmtide_sites::SiteView { revision: 4, sites_version: 2, sites }
@@ -211,8 +212,8 @@
         ("peers", PeerMessage::Gossip(vec![1, 2, 3])),
         ("hello", PeerMessage::VoterHello(hello)),
         ("raft", PeerMessage::Raft(Box::new(raft_message()))),
-        ("ask", PeerMessage::LeaseRequest(ask())),
-        ("answer", PeerMessage::LeaseResponse(answer())),
+        ("ask", PeerMessage::LeaseRequest(lease_request())),
+        ("answer", PeerMessage::LeaseResponse(lease_response())),
         ("elsewhere", PeerMessage::NotLeader(Some(FrontId(3)))),
         ("poke", PeerMessage::RenewNow),
         (
@@ -223,10 +224,16 @@
             ),
         ),
         ("told", PeerMessage::CommandOutcome(id, CommandOutcome::Done)),
-        ("ask_work", PeerMessage::MaintenanceLeaseRequest(ask(), work_said())),
-        ("answer_work", PeerMessage::MaintenanceLeaseResponse(answer(), work_view())),
-        ("ask_sites", PeerMessage::SiteLeaseRequest(ask(), Some(work_said()), sites_said())),
-        ("answer_sites", PeerMessage::SiteLeaseResponse(answer(), Some(work_view()), sites_view())),
+        ("ask_work", PeerMessage::MaintenanceLeaseRequest(lease_request(), maintenance_report())),
+        ("answer_work", PeerMessage::MaintenanceLeaseResponse(lease_response(), maintenance_view())),
+        (
+            "ask_sites",
+            PeerMessage::SiteLeaseRequest(lease_request(), Some(maintenance_report()), site_report()),
+        ),
+        (
+            "answer_sites",
+            PeerMessage::SiteLeaseResponse(lease_response(), Some(maintenance_view()), site_view()),
+        ),
         ("here", PeerMessage::SiteHeartbeat),
     ]
 }
@@ -240,47 +247,47 @@
     file.check();
 }
 
-/// Version, MAC, header and fragments: one front's datagrams for another, which opens each of them.
+/// Covers version, MAC, header and fragments: one front encodes datagrams, and the other one decodes each of them.
 #[test]
-fn datagrams_keep_their_bytes() {
-    let frames = |me, incarnation| {
-        DatagramCodec::new(b"key", "duna", FrontId(me), incarnation, [FrontId(1), FrontId(2)].into_iter())
+fn datagrams_keep_their_encoding_and_are_decoded() {
+    let codec = |own, incarnation| {
+        DatagramCodec::new(b"key", "duna", FrontId(own), incarnation, [FrontId(1), FrontId(2)].into_iter())
     };
-    let (mut sender, mut receiver) = (frames(1, 3), frames(2, 8));
+    let (mut sender, mut receiver) = (codec(1, 3), codec(2, 8));
     let mut file = golden("datagrams.txt");
     let long = PeerMessage::Gossip((0..3000u32).map(|n| n as u8).collect());
     for (name, message) in messages().into_iter().chain([("long", long)]) {
         let datagrams = sender.encode(FrontId(2), &message);
-        let mut opened = None;
-        for (place, datagram) in datagrams.iter().enumerate() {
-            file.bytes(&format!("{name}_{place}"), datagram);
-            opened = receiver.decode(datagram);
+        let mut decoded = None;
+        for (index, datagram) in datagrams.iter().enumerate() {
+            file.bytes(&format!("{name}_{index}"), datagram);
+            decoded = receiver.decode(datagram);
         }
-        assert_eq!(opened, Some((FrontId(1), message)), "{name}");
+        assert_eq!(decoded, Some((FrontId(1), message)), "{name}");
     }
     file.check();
 }
 
 fn budget_commands() -> Vec<BudgetCommand> {
     let rule = MinimumRule { set_aside: 200_000, unit: 10_000 };
-    let floors = vec![(BudgetKind::Retries, rule), (BudgetKind::ShopRate, rule)];
-    let share = |front, parts| (holder(front), key(BudgetKind::Retries), parts);
+    let minimum_rules = vec![(BudgetKind::Retries, rule), (BudgetKind::ShopRate, rule)];
+    let quota_change = |front, quota| (holder(front), budget_id(BudgetKind::Retries), quota);
     vec![
         BudgetCommand::UpdateFronts {
             version: 1,
             fronts: vec![FrontId(1), FrontId(2)],
-            minimums: floors,
+            minimums: minimum_rules,
             lease: 3_000_000,
         },
         BudgetCommand::Join { holder: holder(1) },
         BudgetCommand::Join { holder: holder(2) },
-        BudgetCommand::Allocate { changes: vec![share(1, 500_000), share(2, 200_000)] },
-        BudgetCommand::Allocate { changes: vec![share(1, 300_000)] },
+        BudgetCommand::Allocate { changes: vec![quota_change(1, 500_000), quota_change(2, 200_000)] },
+        BudgetCommand::Allocate { changes: vec![quota_change(1, 300_000)] },
         BudgetCommand::ConfirmReductions {
             reductions: vec![
                 ConfirmedReduction::Quota {
                     holder: holder(1),
-                    budget: key(BudgetKind::Retries),
+                    budget: budget_id(BudgetKind::Retries),
                     epoch: Epoch(1),
                 },
                 ConfirmedReduction::Minimum { front: FrontId(1), kind: BudgetKind::Retries, epoch: Epoch(2) },
@@ -292,7 +299,7 @@
     ]
 }
 
-fn bounds() -> DisruptionBudget {
+fn disruption_budget() -> DisruptionBudget {
     DisruptionBudget {
         per_location: 1,
         per_hub: 2,
@@ -318,7 +325,7 @@
     vec![spec(1, None), spec(2, None), spec(3, Some(HostedFront { id: FrontId(1), is_voter: true }))]
 }
 
-fn work_commands() -> Vec<elmtide_maintenance::MaintenanceCommand> {
+fn maintenance_commands() -> Vec<elmtide_maintenance::MaintenanceCommand> {
     use elmtide_maintenance::MaintenanceCommand;
     let job = JobId(1);
     let step = |number, step| MaintenanceCommand::Advance {
@@ -328,7 +335,7 @@
         at_ms: 2000,
     };
     vec![
-        MaintenanceCommand::UpdateMachines { version: 1, machines: specs(), budget: bounds() },
+        MaintenanceCommand::UpdateMachines { version: 1, machines: specs(), budget: disruption_budget() },
         MaintenanceCommand::Request {
             machines: vec![machine(1), machine(2)],
             requested_by: "ops".into(),
@@ -360,7 +367,7 @@
 
 fn site_commands() -> Vec<elmtide_sites::SiteCommand> {
     use elmtide_sites::SiteCommand;
-    let lost = SiteWord { fronts: SiteLooks::Unreachable, caches: SiteLooks::Unreachable };
+    let lost = SiteOpinion { fronts: Reachability::Unreachable, caches: Reachability::Unreachable };
     vec![
         SiteCommand::UpdateSites { version: 1, sites: 4, patience_ms: 1000, max_patience_ms: 16_000 },
         SiteCommand::ReportOpinions { by: SiteId(1), opinions: vec![(SiteId(0), lost)], at_ms: 10_000 },
@@ -376,49 +383,53 @@
     ]
 }
 
-/// Every command by its encoding, and the state after each of them.
+/// Covers every command, its outcome, and the state after it.
 #[test]
 fn commands_and_the_agreed_state_keep_their_encoding() {
     let mut file = golden("agreed.txt");
     let mut agreed = AgreedState::default();
     let budgets = budget_commands().into_iter().map(AgreedCommand::Budgets);
-    let seat = [AgreedCommand::AssignVoter { front: FrontId(1), voter: VoterId(11) }];
-    let work = work_commands().into_iter().map(AgreedCommand::Maintenance);
+    let voter_assignment = [AgreedCommand::AssignVoter { front: FrontId(1), voter: VoterId(11) }];
+    let maintenance = maintenance_commands().into_iter().map(AgreedCommand::Maintenance);
     let sites = site_commands().into_iter().map(AgreedCommand::Sites);
-    // Fronts that are there have to see what machines do: the budgets' commands up to the last join go first.
-    let changes: Vec<AgreedCommand> = budgets.chain(seat).chain(work).chain(sites).collect();
-    for (place, change) in changes.iter().enumerate() {
-        file.value(&format!("command_{place}"), change);
-        let outcome = agreed.apply(change);
-        file.value(&format!("outcome_{place}"), &outcome);
+    // Maintenance commands depend on which fronts have joined, so the budgets' commands go first.
+    let commands: Vec<AgreedCommand> =
+        budgets.chain(voter_assignment).chain(maintenance).chain(sites).collect();
+    for (index, command) in commands.iter().enumerate() {
+        file.value(&format!("command_{index}"), command);
+        let outcome = agreed.apply(command);
+        file.value(&format!("outcome_{index}"), &outcome);
         let snapshot = agreed.snapshot();
-        assert_eq!(AgreedState::restore(&snapshot).as_ref(), Some(&agreed), "after {change:?}");
-        file.bytes(&format!("state_{place}"), &snapshot);
+        assert_eq!(AgreedState::restore(&snapshot).as_ref(), Some(&agreed), "after {command:?}");
+        file.bytes(&format!("state_{index}"), &snapshot);
     }
     file.check();
 }
 
-/// Snapshots of versions that had no maintenance jobs, or no sites, end where those begin.
+/// Snapshots of versions without maintenance, or without sites, end where that part would begin. Such a snapshot must
+/// still be restored after an upgrade.
 #[test]
-fn snapshots_of_earlier_versions_are_still_read() {
+fn snapshots_of_versions_without_maintenance_or_sites_are_restored() {
     let mut agreed = AgreedState::default();
     for command in budget_commands() {
         agreed.apply(&AgreedCommand::Budgets(command));
     }
     agreed.apply(&AgreedCommand::AssignVoter { front: FrontId(1), voter: VoterId(11) });
-    let early =
+    let encoded_fields =
         [postcard::to_allocvec(&agreed.budgets).unwrap(), postcard::to_allocvec(&agreed.voters).unwrap()];
-    let restored = AgreedState::restore(&early.concat()).expect("a snapshot without jobs");
+    let restored =
+        AgreedState::restore(&encoded_fields.concat()).expect("a snapshot without maintenance is restored");
     assert_eq!((restored.budgets, restored.voters), (agreed.budgets.clone(), agreed.voters.clone()));
-    let with_work = [early.concat(), postcard::to_allocvec(&agreed.maintenance).unwrap()].concat();
-    let restored = AgreedState::restore(&with_work).expect("a snapshot without sites");
+    let with_maintenance =
+        [encoded_fields.concat(), postcard::to_allocvec(&agreed.maintenance).unwrap()].concat();
+    let restored = AgreedState::restore(&with_maintenance).expect("a snapshot without sites is restored");
     assert_eq!(restored.maintenance, agreed.maintenance);
 }
 
 #[test]
-fn outcomes_keep_their_encoding() {
+fn each_command_outcome_keeps_its_encoding() {
     let mut file = golden("outcomes.txt");
-    let refused = [
+    let rejections = [
         CommandRejected::StaleFrontList,
         CommandRejected::LimitExceeded,
         CommandRejected::ExceedsTotal,
@@ -427,35 +438,35 @@
         CommandRejected::StaleEpoch,
         CommandRejected::FrontStillListed,
     ];
-    for (place, refused) in refused.into_iter().enumerate() {
-        file.value(&format!("budgets_{place}"), &CommandOutcome::BudgetsRejected(refused));
+    for (index, rejection) in rejections.into_iter().enumerate() {
+        file.value(&format!("budgets_{index}"), &CommandOutcome::BudgetsRejected(rejection));
     }
     file.value("no_seat", &CommandOutcome::TooManyVoters);
-    use elmtide_maintenance::CommandRejected as Work;
-    let refused = [
-        Work::StaleVersion,
-        Work::LimitExceeded,
-        Work::UnknownMachine(machine(1)),
-        Work::AlreadyInJob(machine(1), JobId(2)),
-        Work::UnknownJob,
-        Work::StaleEpoch,
-        Work::NotInJob,
-        Work::NotReleased(machine(1)),
-        Work::AlreadyReleased(machine(1)),
-        Work::JobPaused,
-        Work::DisruptionLimit(DisruptionLimit::Voters),
-        Work::NotAcknowledged(FrontId(2)),
-        Work::TooManyFronts,
-        Work::LastOfItsKind(machine(1)),
-        Work::TextTooLong,
-        Work::FrontNotPresent(FrontId(2)),
+    use elmtide_maintenance::CommandRejected as Maintenance;
+    let rejections = [
+        Maintenance::StaleVersion,
+        Maintenance::LimitExceeded,
+        Maintenance::UnknownMachine(machine(1)),
+        Maintenance::AlreadyInJob(machine(1), JobId(2)),
+        Maintenance::UnknownJob,
+        Maintenance::StaleEpoch,
+        Maintenance::NotInJob,
+        Maintenance::NotReleased(machine(1)),
+        Maintenance::AlreadyReleased(machine(1)),
+        Maintenance::JobPaused,
+        Maintenance::DisruptionLimit(DisruptionLimit::Voters),
+        Maintenance::NotAcknowledged(FrontId(2)),
+        Maintenance::TooManyFronts,
+        Maintenance::LastOfItsKind(machine(1)),
+        Maintenance::TextTooLong,
+        Maintenance::FrontNotPresent(FrontId(2)),
     ];
     file.value("work_done", &CommandOutcome::Maintenance(Ok(JobId(2))));
-    for (place, refused) in refused.into_iter().enumerate() {
-        file.value(&format!("work_{place}"), &CommandOutcome::Maintenance(Err(refused)));
+    for (index, rejection) in rejections.into_iter().enumerate() {
+        file.value(&format!("work_{index}"), &CommandOutcome::Maintenance(Err(rejection)));
     }
     use elmtide_sites::CommandRejected as Sites;
-    let refused = [
+    let rejections = [
         Sites::StaleVersion,
         Sites::LimitExceeded,
         Sites::UnknownSite(SiteId(1)),
@@ -466,8 +477,8 @@
         Sites::NotNextPhase,
     ];
     file.value("sites_done", &CommandOutcome::Sites(Ok(())));
-    for (place, refused) in refused.into_iter().enumerate() {
-        file.value(&format!("sites_{place}"), &CommandOutcome::Sites(Err(refused)));
+    for (index, rejection) in rejections.into_iter().enumerate() {
+        file.value(&format!("sites_{index}"), &CommandOutcome::Sites(Err(rejection)));
     }
     file.check();
 }
--- a/front/src/fleet/config/tests.rs
+++ b/front/src/fleet/config/tests.rs
@@ -61,9 +61,9 @@
     }
     file.value("floors", &settings.minimums);
     file.value("terms", &settings.lease);
-    let elmtide_fleet::MaintenanceSettings { machines, bounds } = settings.maintenance.unwrap();
+    let elmtide_fleet::MaintenanceSettings { machines, disruption_budget } = settings.maintenance.unwrap();
     file.value("machines", &machines);
-    file.value("bounds", &bounds);
+    file.value("bounds", &disruption_budget);
     let rules = settings.sites.unwrap();
     let (sites, patience, ceiling, pace) =
         (rules.sites, rules.patience_ms, rules.max_patience_ms, rules.min_phase_ms);
--- a/front/src/fleet/config_settings.rs
+++ b/front/src/fleet/config_settings.rs
@@ -65,7 +65,7 @@
             front: m.front.as_ref().and_then(|f| self.own(f)).map(FrontEntry::hosted),
         };
         let pair = |(a, b): &(String, String)| (MachineId::from_name(a), MachineId::from_name(b));
-        let bounds = DisruptionBudget {
+        let disruption_budget = DisruptionBudget {
             per_location: work.per_location,
             per_hub: work.per_hub,
             per_kind: work.per_kind,
@@ -79,7 +79,7 @@
             },
             blackout_minutes: work.closed.iter().filter_map(|text| parse_hours(text)).collect(),
         };
-        Some(MaintenanceSettings { machines: self.machine.iter().map(spec).collect(), bounds })
+        Some(MaintenanceSettings { machines: self.machine.iter().map(spec).collect(), disruption_budget })
     }
 
     /// `longest`: the longest deadline of a request, in milliseconds.
--- a/front/src/fleet/events.rs
+++ b/front/src/fleet/events.rs
@@ -32,9 +32,9 @@
             tracing::info!(refused = rejected, what = command.name(), "fleet: agreed");
         }
         Event::Left => tracing::info!("fleet: left in order"),
-        Event::SiteChanged { site, standing } => {
+        Event::SiteChanged { site, phase } => {
             let name = sites.map_or_else(String::new, |sites| sites.failover().sites().name(*site));
-            tracing::warn!(site = name, standing = standing.name(), "sites: agreed");
+            tracing::warn!(site = name, standing = phase.name(), "sites: agreed");
         }
         Event::MachineAdvanced { machine, step } => {
             let machine = desk.names().machine(*machine);
--- a/front/src/fleet/maintenance_command.rs
+++ b/front/src/fleet/maintenance_command.rs
@@ -87,11 +87,12 @@
 
 /// Rounds, times and what is left at each, by the file and by what the front knows; nothing is asked for.
 fn dry_run(config: &FleetConfig, path: &Path, machines: &[String]) -> Result<bool, String> {
-    let MaintenanceSettings { machines: specs, bounds } =
+    let MaintenanceSettings { machines: specs, disruption_budget } =
         config.maintenance_settings().ok_or("the file has no [work]")?;
     let names = DisplayNames::from_config(config);
     let mut state = MaintenanceState::default();
-    let layout = MaintenanceCommand::UpdateMachines { version: 1, machines: specs, budget: bounds };
+    let layout =
+        MaintenanceCommand::UpdateMachines { version: 1, machines: specs, budget: disruption_budget };
     state.apply(&layout).map_err(|why| names.rejection_text(why))?;
     let wanted: Vec<MachineId> = machines.iter().map(|m| MachineId::from_name(m)).collect();
     if let Some(unknown) = wanted.iter().find(|m| !state.machines().contains_key(m)) {
--- a/model/src/world.rs
+++ b/model/src/world.rs
@@ -140,10 +140,10 @@
             lease: setup.terms(),
             tick: setup.tick,
             sites: site_state::failover_settings(setup, ids),
-            maintenance: setup
-                .machines
-                .as_ref()
-                .map(|m| MaintenanceSettings { machines: m.specs.clone(), bounds: m.bounds.clone() }),
+            maintenance: setup.machines.as_ref().map(|m| MaintenanceSettings {
+                machines: m.specs.clone(),
+                disruption_budget: m.bounds.clone(),
+            }),
         }
     }
 
