--- a/front/tests/cells.rs
+++ b/front/tests/cells.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use elmtide_rules::{Rules, Seen};
+use elmtide_rules::{Observation, RuleChecker};
 use elmtide_standins::bus::{listed, Bus};
 use elmtide_standins::front::{Front, Setup};
 use elmtide_standins::node::{runs, Behaviour, Node, Origin};
@@ -71,27 +71,29 @@
     }
 
     /// What the boxes saw, held against the rules; the second are announcements of drains.
-    fn rules(&self, drains: &[(Instant, usize)]) -> Rules {
+    fn rules(&self, drains: &[(Instant, usize)]) -> RuleChecker {
         let zero = self.begun;
         let ms = |at: Instant| (at - zero).as_secs_f64() * 1000.0;
-        let mut seen: Vec<(f64, Seen)> =
-            drains.iter().map(|(at, node)| (ms(*at), Seen::Drains { node: *node as u64 })).collect();
+        let mut seen: Vec<(f64, Observation)> = drains
+            .iter()
+            .map(|(at, node)| (ms(*at), Observation::DrainAnnounced { node: *node as u64 }))
+            .collect();
         let mut keys: Vec<Vec<u8>> = Vec::new();
         for (node, b) in self.boxes.iter().enumerate() {
             for asked in b.seen() {
-                seen.push((ms(asked.at), Seen::Work { node: node as u64, source: None }));
+                seen.push((ms(asked.at), Observation::WorkAssigned { node: node as u64, source: None }));
                 if asked.profile == "plan-signup" {
                     let key = keys.iter().position(|k| *k == asked.body).unwrap_or(keys.len());
                     if key == keys.len() {
                         keys.push(asked.body);
                     }
-                    seen.push((ms(asked.at), Seen::Ran { key: key as u64 }));
+                    seen.push((ms(asked.at), Observation::Executed { key: key as u64 }));
                 }
             }
         }
         seen.sort_by(|a, b| a.0.total_cmp(&b.0));
-        let mut rules = Rules::new(0.0);
-        seen.into_iter().for_each(|(at, s)| rules.see(at, s));
+        let mut rules = RuleChecker::new(0.0);
+        seen.into_iter().for_each(|(at, s)| rules.observe(at, s));
         rules
     }
 
@@ -281,7 +283,7 @@
     stop.store(true, Relaxed);
     let answered: u32 = clients.into_iter().map(|c| c.join().unwrap()).sum();
     assert!(answered > 100, "{answered}");
-    let broken = fleet.rules(&[]).end(1e9);
+    let broken = fleet.rules(&[]).finish(1e9);
     assert!(broken.is_empty(), "{broken:?}");
 }
 
@@ -348,7 +350,7 @@
     }
     let announced = drained - Duration::from_secs(2);
     let drains: Vec<(Instant, usize)> = CELLS[1].clone().map(|n| (announced, n)).collect();
-    let broken = fleet.rules(&drains).end(1e9);
+    let broken = fleet.rules(&drains).finish(1e9);
     assert!(broken.is_empty(), "{broken:?}");
 }
 
--- a/front/tests/fleet.rs
+++ b/front/tests/fleet.rs
@@ -10,7 +10,7 @@
 use elmtide_budgets::FrontId;
 use elmtide_fleet::datagram::PeekedKind;
 use elmtide_fleet::{DatagramCodec, PeerMessage};
-use elmtide_rules::spends::Whole;
+use elmtide_rules::spends::SpendLimit;
 use elmtide_standins::bus::listed;
 use elmtide_standins::fleet::{cold_settings, Checked, Fleet, Plan, NAME};
 use elmtide_standins::links::Way;
@@ -24,7 +24,7 @@
 const WORK: f64 = 50.0;
 
 /// What the plan's file says, with a thousandth for drift and half a unit for two clocks read one after the other.
-const WHOLE: Whole = Whole { rate: 60.0 * 1.001, burst: 60.5 };
+const WHOLE: SpendLimit = SpendLimit { rate: 60.0 * 1.001, burst: 60.5 };
 
 fn start(plan: Plan) -> Fleet {
     println!("seed {}", plan.seed);
@@ -365,7 +365,7 @@
     assert!(until(|| fleet.records().unwrap().len() > 150));
     stop(loads);
     check(&fleet);
-    assert!(fleet.check(RETRIES, Whole { rate: 5.0, burst: 5.0 }).is_err());
+    assert!(fleet.check(RETRIES, SpendLimit { rate: 5.0, burst: 5.0 }).is_err());
 }
 
 /// Fetches from the origin, as the nodes saw them: all fronts together stay within the whole, and use most of it.
@@ -402,22 +402,22 @@
     let lately = fetched().iter().filter(|at| **at > since).count() as f64 / 5.0;
     stop(loads);
     let all = fetched();
-    let mut spends = elmtide_rules::spends::Spends::new();
+    let mut spends = elmtide_rules::spends::SpendChecker::new();
     // What is decided within the whole arrives at a node a little later, some later than others.
-    spends.know((), Whole { rate: 30.0 * 1.001, burst: 30.0 + 30.0 * 0.2 });
+    spends.set_limit((), SpendLimit { rate: 30.0 * 1.001, burst: 30.0 + 30.0 * 0.2 });
     for at in &all {
-        spends.spent((), 1.0, at.duration_since(all[0]).as_micros() as u64);
+        spends.record((), 1.0, at.duration_since(all[0]).as_micros() as u64);
     }
-    println!("{lately:.1} of 30 a second, closest {:.2}", spends.closest(&()));
-    assert!(spends.over.is_empty(), "{:?}", spends.over.first());
+    println!("{lately:.1} of 30 a second, closest {:.2}", spends.peak_ratio(&()));
+    assert!(spends.excesses.is_empty(), "{:?}", spends.excesses.first());
     assert!(lately > 18.0, "{lately} of 30 a second are used");
-    fleet.check("origin", Whole { rate: 30.0 * 1.001, burst: 30.5 }).unwrap();
+    fleet.check("origin", SpendLimit { rate: 30.0 * 1.001, burst: 30.5 }).unwrap();
 }
 
 /// Each site has its own link: fronts of one site share it, and what lies at others is not lost to them.
 #[test]
 fn fills_through_a_sites_link_are_that_sites_budget() {
-    let whole = Whole { rate: 20.0 * 1.001, burst: 20.5 };
+    let whole = SpendLimit { rate: 20.0 * 1.001, burst: 20.5 };
     let budgets = "[[budget]]\nkind = \"link-in\"\nrate = 20.0\nburst = 20.0\nfloor = 0.2\n".to_owned();
     // The first and the fourth front are of one site.
     let fleet = start(Plan { budgets, ..Plan::new(4, 141) });
@@ -554,7 +554,7 @@
     assert!(most <= 12, "{most} ran at once, 12 may");
     assert!(served > 60, "{served} were let through in 5 s");
     assert!(beside > 15, "{beside} of the other shop, one after the other");
-    fleet.check("shop-rate", Whole { rate: 40.0 * 1.001, burst: 40.5 }).unwrap();
+    fleet.check("shop-rate", SpendLimit { rate: 40.0 * 1.001, burst: 40.5 }).unwrap();
 }
 
 /// A voter whose disk is full votes no more, says so, and goes on holding its share; the others go on. Once the disk has room it
--- a/front/tests/front_drain.rs
+++ b/front/tests/front_drain.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use common::{call_management, start_managed, Program, PATIENCE};
-use elmtide_rules::front_drain::{check_answers, check_drain, Breach, ClientConnection, DRAIN_LIMIT_MS};
+use elmtide_rules::front_drain::{check_answers, check_drain, ClientConnection, Violation, DRAIN_LIMIT_MS};
 use elmtide_standins::node::{Behaviour, Node, Origin};
 use elmtide_standins::until;
 use elmtide_standins::web_server::{record, RequestEnd, WebServerConnection, Workload};
@@ -87,7 +87,7 @@
     }
 }
 
-fn assert_none(breaches: &[Breach]) {
+fn assert_none(breaches: &[Violation]) {
     let lines: Vec<String> = breaches.iter().map(ToString::to_string).collect();
     assert!(breaches.is_empty(), "{}", lines.join("\n"));
 }
--- a/front/tests/soak.rs
+++ b/front/tests/soak.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 
 use common::{call_management, start_managed_with_faults, Program};
-use elmtide_rules::front_drain::{check_answers, check_drain, Breach, ClientConnection};
+use elmtide_rules::front_drain::{check_answers, check_drain, ClientConnection, Violation};
 use elmtide_standins::faults::{FailingCalls, Faults};
 use elmtide_standins::node::{runs, Behaviour, Node, Origin};
 use elmtide_standins::tcp_proxy::{LinkFaults, TcpProxy};
@@ -305,7 +305,8 @@
         let observed: Vec<ClientConnection> =
             self.clients.iter().flat_map(|c| c.observed(self.epoch)).collect();
         self.outcome.requests = observed.iter().map(|c| c.requests.len()).sum();
-        let only_late = |breach: &Breach| matches!(breach, Breach::Late { by, .. } if *by < LATE_LIMIT_MS);
+        let only_late =
+            |breach: &Violation| matches!(breach, Violation::Late { by, .. } if *by < LATE_LIMIT_MS);
         let breaches = check_answers(&observed).into_iter().filter(|b| !only_late(b));
         self.outcome.breaches.extend(breaches.map(|b| format!("answers: {b}")));
         let twice = runs([&self.node]).into_iter().filter(|(_, count)| *count > 1);
--- a/lab/src/fleet.rs
+++ b/lab/src/fleet.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use elmtide_rules::spends::Whole;
+use elmtide_rules::spends::SpendLimit;
 use elmtide_standins::bus::listed;
 use elmtide_standins::fleet::{cold_settings, Fleet, Plan};
 use elmtide_standins::links::Way;
@@ -94,7 +94,7 @@
         }
         load.stop();
     }
-    let checked = fleet.check(RETRIES, Whole { rate: rate * 1.001, burst: burst + 0.5 })?;
+    let checked = fleet.check(RETRIES, SpendLimit { rate: rate * 1.001, burst: burst + 0.5 })?;
     Ok(Used { part, closest: checked.closest, adapts })
 }
 
@@ -206,8 +206,8 @@
     }
     let fetches = fleet.origin.fills.load(std::sync::atomic::Ordering::Relaxed);
     if shares {
-        fleet.check(RETRIES, Whole { rate: RATE * 1.001, burst: BURST + 0.5 })?;
-        fleet.check("origin", Whole { rate: ORIGIN * 1.001, burst: 20.5 })?;
+        fleet.check(RETRIES, SpendLimit { rate: RATE * 1.001, burst: BURST + 0.5 })?;
+        fleet.check("origin", SpendLimit { rate: ORIGIN * 1.001, burst: 20.5 })?;
     }
     Ok(Stormed { asked, served: last - first, worst, fetches, turned_away })
 }
@@ -317,7 +317,7 @@
         asked += load.stop().asked.load(std::sync::atomic::Ordering::Relaxed);
     }
     let checked = fleet
-        .check(RETRIES, Whole { rate: RATE * 1.001, burst: BURST + 0.5 })
+        .check(RETRIES, SpendLimit { rate: RATE * 1.001, burst: BURST + 0.5 })
         .map_err(|why| format!("{why}\n{again}"))?;
     println!("| step | after |\n| --- | --- |");
     for (what, took) in rows {
--- a/lab/src/schedules.rs
+++ b/lab/src/schedules.rs
@@ -5,9 +5,9 @@
 use std::time::Instant;
 
 use elmtide_budgets::{BudgetId, BudgetKind};
-use elmtide_model::schedule::play_sites;
-use elmtide_model::schedule::{play, play_work, Rough};
-use elmtide_model::{Disk, Report, Setup, World};
+use elmtide_model::schedule::run_site_faults;
+use elmtide_model::schedule::{run_budget_faults, run_maintenance_faults, FaultMode};
+use elmtide_model::{Report, Setup, StoreFate, World};
 
 const KEY: BudgetId = BudgetId { kind: BudgetKind::Retries, resource: 0 };
 
@@ -24,14 +24,14 @@
 
 impl Sum {
     fn add(&mut self, report: Report) {
-        self.largest = self.largest.max(report.largest);
-        self.closest = report.closest.values().copied().fold(self.closest, f64::max);
+        self.largest = self.largest.max(report.peak_quota_sum);
+        self.closest = report.peak_window_use.values().copied().fold(self.closest, f64::max);
         self.datagrams += report.datagrams;
         self.leaders += report.leaders;
-        self.tried += report.tried;
-        self.served += report.served;
-        if !report.over.is_empty() {
-            self.broken.push((report.seed, report.over));
+        self.tried += report.requests_attempted;
+        self.served += report.requests_served;
+        if !report.violations.is_empty() {
+            self.broken.push((report.seed, report.violations));
         }
     }
 }
@@ -45,12 +45,12 @@
 }
 
 pub fn run(count: u64, seed: u64, steps: usize, breach: bool, during: While) -> Result<(), String> {
-    let play = |seed: u64, steps: usize, rough: Rough| match during {
-        While::Budgets => play(seed, steps, rough),
-        While::Work => play_work(seed, steps, rough),
-        While::Sites => play_sites(seed, steps),
+    let play = |seed: u64, steps: usize, rough: FaultMode| match during {
+        While::Budgets => run_budget_faults(seed, steps, rough),
+        While::Work => run_maintenance_faults(seed, steps, rough),
+        While::Sites => run_site_faults(seed, steps),
     };
-    let rough = if breach { Rough::Breach } else { Rough::Stated };
+    let rough = if breach { FaultMode::LeaseViolation } else { FaultMode::Tolerated };
     let next = AtomicU64::new(seed);
     let sum = Mutex::new(Sum::default());
     let began = Instant::now();
@@ -67,7 +67,7 @@
                     let played = std::panic::catch_unwind(|| play(seed, steps, rough));
                     let report = played.unwrap_or_else(|_| Report {
                         seed,
-                        over: vec!["a panic".into()],
+                        violations: vec!["a panic".into()],
                         ..Report::default()
                     });
                     sum.lock().unwrap_or_else(|p| p.into_inner()).add(report);
@@ -115,10 +115,10 @@
     for (_, whole) in &mut setup.budgets {
         (whole.rate, whole.burst) = (FETCHES, burst);
     }
-    setup.floors[0].1.unit = (1e6 / burst).ceil() as u32;
-    setup.floors[0].1.set_aside = 100_000;
+    setup.minimums[0].1.unit = (1e6 / burst).ceil() as u32;
+    setup.minimums[0].1.set_aside = 100_000;
     let mut world = World::new(setup);
-    (0..fronts).for_each(|front| world.demand(front, KEY, each));
+    (0..fronts).for_each(|front| world.set_demand(front, KEY, each));
     world.run(30 * SECOND);
     world
 }
@@ -156,13 +156,13 @@
         let large = used(&mut even(fronts, 10.0 * FETCHES, 1.0, seed), 40);
         // A third of the fronts is gone at once, no voter among them.
         let first = world.voters();
-        (first..fronts).take(fronts / 3).for_each(|front| world.kill(front, Disk::Kept));
+        (first..fronts).take(fronts / 3).for_each(|front| world.kill(front, StoreFate::Kept));
         let began = world.now;
         let mut again = None;
         while world.now < began + 60 * SECOND && again.is_none() {
             again = (used(&mut world, 1) >= 0.8 * small).then(|| (world.now - began) / SECOND);
         }
-        let over = world.report().over;
+        let over = world.report().violations;
         if !over.is_empty() {
             return Err(format!("{fronts} fronts: {}", over[0]));
         }
--- a/model/src/simulated_node.rs
+++ b/model/src/simulated_node.rs
@@ -1,4 +1,4 @@
-//! One front of a simulated fleet: its process, its store and its machine's clocks.
+//! A front of a simulated fleet: its process, its store and its machine's clocks.
 
 use std::collections::BTreeMap;
 
@@ -8,47 +8,53 @@
 
 use crate::site_state::SiteObserver;
 
-/// A machine's clocks: how fast they run, and how far the wall's was set off.
+/// The state of a machine's clocks.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Clock {
-    /// Parts in a million faster than true.
+    /// Drift of both clocks in parts per million, positive if they are fast.
     pub(crate) ppm: f64,
-    /// The wall clock alone, in microseconds.
-    pub(crate) set: i64,
-    /// Time for which the steady clock stood still.
-    pub(crate) stood: Micros,
+    /// Offset of the wall clock in microseconds.
+    pub(crate) wall_offset: i64,
+    /// Time for which the monotonic clock was stopped.
+    pub(crate) suspended: Micros,
 }
 
+/// The durable state of a front.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Store {
-    pub(crate) kept: RecoveredState,
-    /// A copy of some time ago.
-    pub(crate) old: Option<RecoveredState>,
-    /// Refuses to sync.
+    /// The state at the last sync.
+    pub(crate) current: RecoveredState,
+    /// An earlier copy, for a rollback.
+    pub(crate) snapshot: Option<RecoveredState>,
+    /// Whether syncs fail because the disk is full.
     pub(crate) full: bool,
 }
 
+/// A simulated front.
 pub(crate) struct Node {
     pub(crate) id: FrontId,
+    /// The fleet member, none while the process is down.
     pub(crate) member: Option<FleetNode>,
     pub(crate) ledger: QuotaLedger,
     pub(crate) store: Store,
     pub(crate) clock: Clock,
-    /// Which run of the process it is, for events that are meant for an earlier one.
+    /// Run number of the process, by which events for an earlier run are recognized.
     pub(crate) run: u64,
     pub(crate) stalled_until: Micros,
     pub(crate) settings: FleetSettings,
-    /// Units a second that are wanted, by budget.
+    /// Demand in units per second, by budget.
     pub(crate) demand: BTreeMap<BudgetId, f64>,
     pub(crate) wake_at: Micros,
-    /// Parts of the wants that were served.
-    pub(crate) tried: u64,
+    /// Number of requests that were attempted.
+    pub(crate) attempted: u64,
+    /// Number of those that were served.
     pub(crate) served: u64,
-    /// This node's front uses a ledger that ignores its lease: a breach on purpose.
+    /// Whether the front ignores the expiry of its leases, a deliberate violation.
     pub(crate) ignores_lease: bool,
-    /// What it keeps off, and until when something that it has sent is open at each machine.
+    /// The machines that the front must not use.
     pub(crate) exclusions: Option<MaintenanceExclusions>,
-    pub(crate) open: BTreeMap<MachineId, Micros>,
-    /// What it sees of sites.
+    /// End of the last request that the front has open at each machine.
+    pub(crate) open_requests: BTreeMap<MachineId, Micros>,
+    /// The front's monitor and view of sites.
     pub(crate) site_observer: Option<SiteObserver>,
 }
--- a/model/src/world/faults.rs
+++ b/model/src/world/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of processes, stores, clocks and the network, and what operators do to a front.
+//! Faults of processes, stores, clocks and the network, and operator actions on a front.
 
 use elmtide_budgets::{BudgetId, FrontId, Micros, QuotaLedger};
 use elmtide_fleet::{FleetNode, NodeConfig, RecoveredState};
@@ -6,166 +6,176 @@
 use rand::RngExt;
 
 use super::{Event, World};
-use crate::setup::{Disk, Net};
+use crate::setup::{NetworkConditions, StoreFate};
 use crate::site_state::SiteObserver;
 
 impl World {
+    /// Starts a front's process from its store.
     pub fn start(&mut self, node: usize) {
         let clocks = self.clocks(node);
-        let terms = self.setup.terms();
+        let lease_settings = self.setup.lease_settings();
         let seed = self.random.random::<u64>();
-        let place = &mut self.nodes[node];
-        place.run += 1;
-        place.store.kept.incarnation += 1;
-        place.store.kept.durable = true;
-        place.ledger = QuotaLedger::new(terms);
-        for (key, whole) in &self.setup.budgets {
-            place.ledger.configure_budget(*key, *whole, clocks);
+        let host = &mut self.nodes[node];
+        host.run += 1;
+        host.store.current.incarnation += 1;
+        host.store.current.durable = true;
+        host.ledger = QuotaLedger::new(lease_settings);
+        for (budget, limit) in &self.setup.budgets {
+            host.ledger.configure_budget(*budget, *limit, clocks);
         }
         let config = NodeConfig {
-            own: place.id,
+            own: host.id,
             installation: "model".into(),
             key: b"a key of the model".to_vec(),
-            settings: place.settings.clone(),
-            recovered: place.store.kept.clone(),
+            settings: host.settings.clone(),
+            recovered: host.store.current.clone(),
             seed,
         };
-        place.member = FleetNode::new(config, clocks).ok();
-        place.stalled_until = 0;
-        place.wake_at = Micros::MAX;
-        place.open.clear();
-        place.site_observer =
+        host.member = FleetNode::new(config, clocks).ok();
+        host.stalled_until = 0;
+        host.wake_at = Micros::MAX;
+        host.open_requests.clear();
+        host.site_observer =
             self.sites.as_ref().map(|s| SiteObserver::new(s.count, node % s.count, clocks.monotonic));
         if let Some(machines) = &self.machines {
-            let first = place.exclusions.is_none();
-            place.exclusions = Some(MaintenanceExclusions::new(
-                terms,
+            let is_first_start = host.exclusions.is_none();
+            host.exclusions = Some(MaintenanceExclusions::new(
+                lease_settings,
                 machines.specs.iter().map(|s| (MachineId::from_name(&s.name), None)),
             ));
-            if first {
-                self.push(self.now, Event::Send { node });
+            if is_first_start {
+                self.push(self.now, Event::SendRequest { node });
             }
         }
-        let place = &mut self.nodes[node];
-        let run = place.run;
+        let host = &mut self.nodes[node];
+        let run = host.run;
         self.push(self.now, Event::Report { node, run });
         self.process_outputs(node);
         self.wake(node);
     }
 
-    /// The process ends at once; its machine is silent.
-    pub fn kill(&mut self, node: usize, disk: Disk) {
-        let place = &mut self.nodes[node];
-        place.member = None;
-        place.run += 1;
-        let incarnation = place.store.kept.incarnation;
-        match disk {
-            Disk::Kept => {}
-            // Without the store the incarnation goes by a clock that only rises.
-            Disk::Lost => {
-                place.store.kept =
+    /// Kills a front's process without a shutdown.
+    pub fn kill(&mut self, node: usize, store_fate: StoreFate) {
+        let host = &mut self.nodes[node];
+        host.member = None;
+        host.run += 1;
+        let incarnation = host.store.current.incarnation;
+        match store_fate {
+            StoreFate::Kept => {}
+            // Without a store the incarnation comes from a clock that only rises, so it is still higher.
+            StoreFate::Lost => {
+                host.store.current =
                     RecoveredState { incarnation: incarnation + 10, ..RecoveredState::default() }
             }
-            Disk::Yesterday => {
-                if let Some(old) = place.store.old.clone() {
-                    place.store.kept = old;
+            StoreFate::RolledBack => {
+                if let Some(snapshot) = host.store.snapshot.clone() {
+                    host.store.current = snapshot;
                 }
             }
         }
-        let demand = place.demand.clone();
-        place.ledger = QuotaLedger::new(self.setup.terms());
-        place.demand = demand;
+        let demand = host.demand.clone();
+        host.ledger = QuotaLedger::new(self.setup.lease_settings());
+        host.demand = demand;
     }
 
+    /// Whether a front's process is running.
     pub fn is_up(&self, node: usize) -> bool {
         self.nodes[node].member.is_some()
     }
 
-    /// Keeps a copy of the store, for [`Disk::Yesterday`].
-    pub fn copy_store(&mut self, node: usize) {
-        self.nodes[node].store.old = Some(self.nodes[node].store.kept.clone());
+    /// Keeps a copy of the store for [`StoreFate::RolledBack`].
+    pub fn snapshot_store(&mut self, node: usize) {
+        self.nodes[node].store.snapshot = Some(self.nodes[node].store.current.clone());
     }
 
-    pub fn fill_disk(&mut self, node: usize, full: bool) {
+    /// Makes syncs of the store fail, or succeed again.
+    pub fn set_disk_full(&mut self, node: usize, full: bool) {
         self.nodes[node].store.full = full;
     }
 
-    /// The whole process stands still; its clocks go on, and what comes waits.
+    /// Stalls the process. Its clocks continue, and events for it wait.
     pub fn stall(&mut self, node: usize, span: Micros) {
         self.nodes[node].stalled_until = self.now + span;
     }
 
-    /// The machine sleeps: its steady clock stands still as well.
-    pub fn sleep(&mut self, node: usize, span: Micros) {
+    /// Suspends the machine: the process stalls and its monotonic clock stops.
+    pub fn suspend_machine(&mut self, node: usize, span: Micros) {
         self.stall(node, span);
-        self.nodes[node].clock.stood += span;
+        self.nodes[node].clock.suspended += span;
     }
 
-    pub fn set_wall(&mut self, node: usize, by: i64) {
-        self.nodes[node].clock.set += by;
+    /// Steps the wall clock by this many microseconds.
+    pub fn step_wall_clock(&mut self, node: usize, by: i64) {
+        self.nodes[node].clock.wall_offset += by;
     }
 
-    pub fn drift(&mut self, node: usize, ppm: f64) {
-        // The clock goes on from where it is.
+    /// Sets the clocks' drift in parts per million.
+    pub fn set_clock_drift(&mut self, node: usize, ppm: f64) {
+        // The clocks continue from their present values.
         let before = self.clocks(node);
         self.nodes[node].clock.ppm = ppm;
         let after = self.clocks(node);
         let clock = &mut self.nodes[node].clock;
         if after.monotonic > before.monotonic {
-            clock.stood += after.monotonic - before.monotonic;
+            clock.suspended += after.monotonic - before.monotonic;
         } else {
-            clock.stood = clock.stood.saturating_sub(before.monotonic - after.monotonic);
+            clock.suspended = clock.suspended.saturating_sub(before.monotonic - after.monotonic);
         }
-        clock.set += before.wall as i64 - after.wall as i64;
+        clock.wall_offset += before.wall as i64 - after.wall as i64;
     }
 
-    pub fn net(&mut self, net: Net) {
-        self.net = net;
+    /// Sets the conditions of the network.
+    pub fn set_network(&mut self, network: NetworkConditions) {
+        self.network = network;
     }
 
-    /// Cuts one direction, or heals it.
-    pub fn cut(&mut self, from: usize, to: usize, cut: bool) {
+    /// Blocks the link from one front to another, or unblocks it.
+    pub fn set_cut(&mut self, from: usize, to: usize, cut: bool) {
         match cut {
-            true => self.cuts.insert((from, to)),
-            false => self.cuts.remove(&(from, to)),
+            true => self.blocked_links.insert((from, to)),
+            false => self.blocked_links.remove(&(from, to)),
         };
     }
 
-    pub fn split(&mut self, parts: &[&[usize]]) {
-        for (a, one) in parts.iter().enumerate() {
-            for (b, other) in parts.iter().enumerate().filter(|(b, _)| *b != a) {
+    /// Blocks all links between different groups of fronts.
+    pub fn partition_network(&mut self, groups: &[&[usize]]) {
+        for (a, from_group) in groups.iter().enumerate() {
+            for (b, to_group) in groups.iter().enumerate().filter(|(b, _)| *b != a) {
                 let _ = b;
-                for from in *one {
-                    for to in *other {
-                        self.cuts.insert((*from, *to));
+                for from in *from_group {
+                    for to in *to_group {
+                        self.blocked_links.insert((*from, *to));
                     }
                 }
             }
         }
     }
 
-    pub fn heal(&mut self) {
-        self.cuts.clear();
+    /// Unblocks all links between fronts.
+    pub fn heal_network(&mut self) {
+        self.blocked_links.clear();
     }
 
-    /// A front that spends by shares whose lease is over: what the checkers must find.
+    /// Makes a front use its share and views after their leases have expired, a violation that the checkers must find.
     pub fn ignore_leases(&mut self, node: usize) {
         self.nodes[node].ignores_lease = true;
     }
 
-    /// Another list of fronts for this node, from its next start on.
-    pub fn relist(&mut self, node: usize, version: u64, fronts: &[usize]) {
+    /// Sets the list of fronts in a front's settings, from its next start on.
+    pub fn set_front_list(&mut self, node: usize, version: u64, fronts: &[usize]) {
         let ids: Vec<FrontId> = fronts.iter().map(|n| self.nodes[*n].id).collect();
         self.nodes[node].settings = World::settings(&self.setup, &ids, version);
     }
 
-    pub fn demand(&mut self, node: usize, key: BudgetId, rate: f64) {
-        let before = self.nodes[node].demand.insert(key, rate);
+    /// Sets a front's demand for a budget in units per second.
+    pub fn set_demand(&mut self, node: usize, budget: BudgetId, rate: f64) {
+        let before = self.nodes[node].demand.insert(budget, rate);
         if rate > 0.0 && before.unwrap_or(0.0) <= 0.0 {
-            self.push(self.now, Event::Spend { node, key });
+            self.push(self.now, Event::Spend { node, budget });
         }
     }
 
+    /// Shuts a front down in an orderly way, which returns its share.
     pub fn leave(&mut self, node: usize) {
         let clocks = self.clocks(node);
         self.nodes[node].ledger.close(clocks);
--- a/rules/src/front_drain.rs
+++ b/rules/src/front_drain.rs
@@ -1,67 +1,67 @@
-//! The drain of a front, judged by what its clients saw: after an operator's `PAUSE` no connection may be held idle or with
-//! a recent request past the limit, and every request has one answer, before its deadline.
+//! Checks the drain of a front by what its clients saw. After an operator's `PAUSE` no connection may be held past the
+//! limit while it is idle or has a recent request, and every request gets one answer before its deadline.
 //!
-//! It does not look at anything that the front says of itself.
+//! Nothing that the front reports about itself is used.
 
 use std::fmt;
 
 use crate::Ms;
 
-/// A drained front holds no client longer than this after the call.
+/// Maximum time in milliseconds for which a front may hold client connections after the call to drain.
 pub const DRAIN_LIMIT_MS: Ms = 4000.0;
-/// A connection may be held past the limit only with requests that are at least this old.
+/// Minimum age in milliseconds of the requests for which a connection may be held past the limit.
 pub const RECENT_REQUEST_MS: Ms = 2000.0;
-/// A request that crosses the close of its connection so closely is sent again by its client.
+/// A client sends a request again if it wrote it at most this many milliseconds before its connection was closed.
 pub const CLOSE_CROSSING_MS: Ms = 50.0;
-/// All time limits on sockets are this much longer.
+/// Tolerance in milliseconds that is added to all time limits observed at sockets.
 pub const SOCKET_SLACK_MS: Ms = 50.0;
 
-/// One request, as its client saw it.
+/// One request as its client saw it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientRequest {
-    /// Names it in a breach.
+    /// Identifies the request in a violation.
     pub job: u64,
-    /// When its last byte had been written.
+    /// Time at which its last byte had been written.
     pub written: Ms,
-    /// When its client stops waiting.
+    /// Time at which its client stops waiting.
     pub deadline: Ms,
-    /// When it ended at its client, and whether by an answer.
+    /// Time and manner of its end at the client, if it has ended.
     pub end: Option<(Ms, RequestOutcome)>,
-    /// Answers that came after the first.
+    /// Number of answers after the first.
     pub extra_answers: u32,
 }
 
 /// How a request ended at its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// A whole final answer.
+    /// By a complete final answer.
     Answered,
-    /// The client gave it up: no answer is owed.
+    /// The client gave the request up, so no answer is due.
     GivenUp,
-    /// Its connection ended first.
+    /// Its connection ended before an answer.
     ConnectionLost,
 }
 
-/// One connection, as its client saw it.
+/// One connection as its client saw it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientConnection {
-    /// When it was established.
+    /// Time at which it was established.
     pub opened: Ms,
-    /// When it ended.
+    /// Time at which it ended, if it has.
     pub ended: Option<Ms>,
     /// The requests on it.
     pub requests: Vec<ClientRequest>,
 }
 
-/// What was broken.
+/// A violation of the rules for a drain or for answers.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Breach {
-    /// A connection was held with nothing open on it.
+pub enum Violation {
+    /// A connection without an open request was held past the limit.
     HeldIdle {
-        /// When the connection was established.
+        /// Time at which the connection was established.
         opened: Ms,
     },
-    /// A connection was held with a recent request open on it.
+    /// A connection with a recent open request was held past the limit.
     HeldWithRecentRequest {
         /// The request.
         job: u64,
@@ -77,7 +77,7 @@
     Late {
         /// The request.
         job: u64,
-        /// By so much.
+        /// Time past the deadline, after tolerance.
         by: Ms,
     },
     /// A request was answered twice.
@@ -87,29 +87,31 @@
     },
 }
 
-impl fmt::Display for Breach {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Breach::HeldIdle { opened } => write!(f, "held idle: the connection opened at {opened:.0} ms"),
-            Breach::HeldWithRecentRequest { job, age } => {
+            Violation::HeldIdle { opened } => write!(f, "held idle: the connection opened at {opened:.0} ms"),
+            Violation::HeldWithRecentRequest { job, age } => {
                 write!(f, "held with request {job:016x}, {age:.0} ms old at the limit")
             }
-            Breach::Lost { job } => write!(f, "request {job:016x} had no answer"),
-            Breach::Late { job, by } => {
+            Violation::Lost { job } => write!(f, "request {job:016x} had no answer"),
+            Violation::Late { job, by } => {
                 write!(f, "request {job:016x} answered {by:.0} ms after its deadline")
             }
-            Breach::SecondAnswer { job } => write!(f, "request {job:016x} answered twice"),
+            Violation::SecondAnswer { job } => write!(f, "request {job:016x} answered twice"),
         }
     }
 }
 
-/// The connections that were held past the limit of a drain that began at this moment and lasted at least as long.
-pub fn check_drain(began: Ms, connections: &[ClientConnection]) -> Vec<Breach> {
-    let limit = began + DRAIN_LIMIT_MS;
-    connections.iter().filter_map(|connection| held_past(limit, connection)).collect()
+/// Finds the connections that were held past the limit of a drain that began at `drain_started` and lasted at least
+/// until the limit.
+pub fn check_drain(drain_started: Ms, connections: &[ClientConnection]) -> Vec<Violation> {
+    let limit = drain_started + DRAIN_LIMIT_MS;
+    connections.iter().filter_map(|connection| check_held_connection(limit, connection)).collect()
 }
 
-fn held_past(limit: Ms, connection: &ClientConnection) -> Option<Breach> {
+/// Checks one connection against the time at which it must have been closed.
+fn check_held_connection(limit: Ms, connection: &ClientConnection) -> Option<Violation> {
     let is_held = connection.opened < limit && connection.ended.is_none_or(|at| at > limit + SOCKET_SLACK_MS);
     if !is_held {
         return None;
@@ -118,38 +120,39 @@
     let written = connection.requests.iter().filter(|r| r.written <= limit);
     let open: Vec<&ClientRequest> = written.filter(|r| !ended_by(r, limit + SOCKET_SLACK_MS)).collect();
     if open.is_empty() {
-        return Some(Breach::HeldIdle { opened: connection.opened });
+        return Some(Violation::HeldIdle { opened: connection.opened });
     }
     let recent = open.iter().find(|r| limit - r.written < RECENT_REQUEST_MS)?;
-    Some(Breach::HeldWithRecentRequest { job: recent.job, age: limit - recent.written })
+    Some(Violation::HeldWithRecentRequest { job: recent.job, age: limit - recent.written })
 }
 
-/// Requests without an answer, with a late one, or with two. To be called when no request is expected to be open any more.
-pub fn check_answers(connections: &[ClientConnection]) -> Vec<Breach> {
+/// Finds requests without an answer, with a late one or with several. To be called once no request should still be
+/// open.
+pub fn check_answers(connections: &[ClientConnection]) -> Vec<Violation> {
     connections.iter().flat_map(|c| c.requests.iter().flat_map(|r| check_answer(c, r))).collect()
 }
 
-fn check_answer(connection: &ClientConnection, request: &ClientRequest) -> Vec<Breach> {
+fn check_answer(connection: &ClientConnection, request: &ClientRequest) -> Vec<Violation> {
     let job = request.job;
-    let mut breaches = Vec::new();
+    let mut violations = Vec::new();
     match request.end {
-        None => breaches.push(Breach::Lost { job }),
+        None => violations.push(Violation::Lost { job }),
         Some((at, RequestOutcome::Answered)) => {
             let by = at - request.deadline - SOCKET_SLACK_MS;
             if by > 0.0 {
-                breaches.push(Breach::Late { job, by });
+                violations.push(Violation::Late { job, by });
             }
         }
         Some((_, RequestOutcome::GivenUp)) => {}
         Some((at, RequestOutcome::ConnectionLost)) => {
             let ended = connection.ended.unwrap_or(at);
             if ended - request.written > CLOSE_CROSSING_MS {
-                breaches.push(Breach::Lost { job });
+                violations.push(Violation::Lost { job });
             }
         }
     }
     if request.extra_answers > 0 {
-        breaches.push(Breach::SecondAnswer { job });
+        violations.push(Violation::SecondAnswer { job });
     }
-    breaches
+    violations
 }
--- a/rules/src/lib.rs
+++ b/rules/src/lib.rs
@@ -1,11 +1,12 @@
-//! The five rules, as checkers: observations go in as they are made, broken rules come out, each with the moment and
-//! what it was about. Whoever makes observations (tests with stand-ins, the lab, the model) uses the same checkers.
+//! Checkers for the five rules of the edge. Tests with stand-ins, the lab and the model feed them observations and get
+//! back the violations, each with its time and a description.
 //!
-//! - **lost**: each request has one final answer, before its deadline;
-//! - **twice**: what must run once runs once for its key;
-//! - **drained**: no new work to a node, nor a fill from it, from 2 s after it was announced to drain;
-//! - **pushed over**: a node that has just started gets no more than it bears;
-//! - **purged**: from 1 s after a purge nothing older is answered.
+//! - **Lost**: each request gets exactly one final answer, before its deadline.
+//! - **Duplicate execution**: a request that must run once runs once for its key.
+//! - **Work while draining**: a node gets no new work, and serves no fill, later than 2 s after its drain was
+//!   announced.
+//! - **Cold overload**: a node that has just started gets no more requests than its capacity.
+//! - **Stale after purge**: later than 1 s after a purge no older copy is answered.
 
 #![expect(missing_docs, reason = "not documented in full yet: see docs/ROADMAP.md")]
 
@@ -16,207 +17,232 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Milliseconds of any clock, the same for all observations.
+/// Milliseconds on any clock, as long as all observations use the same one.
 pub type Ms = f64;
 
-/// Spans of the rules.
-pub const DRAIN: Ms = 2000.0;
-pub const PURGE: Ms = 1000.0;
+/// Time in milliseconds after the announcement of a drain during which a node may still get work.
+pub const DRAIN_GRACE: Ms = 2000.0;
+/// Time in milliseconds after a purge during which older copies may still be answered.
+pub const PURGE_GRACE: Ms = 1000.0;
 
-/// What was seen.
+/// An observation of the system under test.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Seen {
-    /// A client has asked, and gives up at that moment.
-    Asked {
-        request: u64,
-        deadline: Ms,
-    },
-    /// A client has its final answer; of a copy, when that was made and of which object.
-    Answered {
-        request: u64,
-        copy: Option<(u64, Ms)>,
-    },
-    /// The client has left by itself: no answer is owed.
-    Left {
-        request: u64,
-    },
-    /// A node has been given work, and where from it fills a miss.
-    Work {
-        node: u64,
-        source: Option<u64>,
-    },
-    /// A node has run what must run once.
-    Ran {
-        key: u64,
-    },
-    /// A node was announced: as draining, as taking work again, or as started just now. Warm, which it is after
-    /// `warm_after`, it bears so many requests in a span; at its start the part `from` of them, rising evenly.
-    Drains {
-        node: u64,
-    },
-    Serves {
-        node: u64,
-    },
+pub enum Observation {
+    /// A client sent a request and waits until the deadline.
+    Requested { request: u64, deadline: Ms },
+    /// A client got its final answer. `copy` is the object and the time its cached copy was made, if it came from one.
+    Answered { request: u64, copy: Option<(u64, Ms)> },
+    /// The client gave the request up, so no answer is due.
+    Abandoned { request: u64 },
+    /// A node was given work; `source` is the node from which it fills a miss.
+    WorkAssigned { node: u64, source: Option<u64> },
+    /// A node executed a request that must run once.
+    Executed { key: u64 },
+    /// A node was announced as draining.
+    DrainAnnounced { node: u64 },
+    /// A node was announced as taking work again.
+    ServiceResumed { node: u64 },
+    /// A node was announced as just started. From `warm_after` on it can take `capacity` requests per window. At its
+    /// start it can take the part `initial_fraction` of that, which rises linearly.
     Started {
         node: u64,
-        bears: f64,
-        from: f64,
-        span: Ms,
+        /// Requests per window once warm.
+        capacity: f64,
+        /// Part of the capacity that is available at the start.
+        initial_fraction: f64,
+        /// Length of the sliding window.
+        window: Ms,
+        /// Time from the start until the node is warm.
         warm_after: Ms,
     },
-    /// A purge of an object was announced; copies made before are not to be answered.
-    Purge {
-        object: u64,
-    },
+    /// A purge of an object was announced. Copies made earlier must no longer be answered.
+    PurgeAnnounced { object: u64 },
 }
 
+/// One of the five rules.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
+    /// A request had no answer, a late answer or two answers.
     Lost,
-    Twice,
-    Drained,
-    PushedOver,
-    Purged,
+    /// A request that must run once ran again.
+    DuplicateExecution,
+    /// A draining node got work or served a fill.
+    WorkWhileDraining,
+    /// A cold node got more requests than its capacity.
+    ColdOverload,
+    /// A copy from before a purge was answered.
+    StaleAfterPurge,
 }
 
-/// A rule that was broken.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Broken {
+pub struct Violation {
     pub rule: Rule,
     pub at: Ms,
-    pub what: String,
+    pub description: String,
 }
 
-impl fmt::Display for Broken {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:?} at {:.0} ms: {}", self.rule, self.at, self.what)
+        write!(f, "{:?} at {:.0} ms: {}", self.rule, self.at, self.description)
     }
 }
 
+/// The start of a node and its capacity while it warms up.
 #[derive(Clone, Copy, Debug)]
-struct Cold {
-    since: Ms,
-    bears: f64,
-    from: f64,
-    span: Ms,
+struct ColdNode {
+    started_at: Ms,
+    capacity: f64,
+    initial_fraction: f64,
+    window: Ms,
     warm_after: Ms,
 }
 
-/// All five checkers over one stream. Observations may come a little out of order: each has its own time.
+/// Checks all five rules over one stream of observations, which may be slightly out of order as each has its own time.
 #[derive(Debug, Default)]
-pub struct Rules {
-    open: BTreeMap<u64, Ms>,
-    done: BTreeMap<u64, Ms>,
-    runs: BTreeMap<u64, u32>,
+pub struct RuleChecker {
+    /// Requests without an answer, with their deadlines.
+    unanswered: BTreeMap<u64, Ms>,
+    /// Answered requests, with the time of the last answer.
+    answered: BTreeMap<u64, Ms>,
+    /// Executions per key.
+    executions: BTreeMap<u64, u32>,
+    /// Draining nodes, with the time of the first announcement.
     draining: BTreeMap<u64, Ms>,
-    cold: BTreeMap<u64, (Cold, Vec<Ms>)>,
+    /// Nodes that are warming up, with the times of their recent requests.
+    cold_nodes: BTreeMap<u64, (ColdNode, Vec<Ms>)>,
+    /// Time of the latest purge per object.
     purges: BTreeMap<u64, Ms>,
-    broken: Vec<Broken>,
-    /// A late observation by a coarse clock is no broken rule.
+    violations: Vec<Violation>,
+    /// Tolerance on every time limit, for observations made by a coarse clock.
     pub slack: Ms,
 }
 
-impl Rules {
-    pub fn new(slack: Ms) -> Rules {
-        Rules { slack, ..Rules::default() }
+impl RuleChecker {
+    /// A checker without observations, with this tolerance on time limits.
+    pub fn new(slack: Ms) -> RuleChecker {
+        RuleChecker { slack, ..RuleChecker::default() }
     }
 
-    fn breaks(&mut self, rule: Rule, at: Ms, what: String) {
-        self.broken.push(Broken { rule, at, what });
+    fn record_violation(&mut self, rule: Rule, at: Ms, description: String) {
+        self.violations.push(Violation { rule, at, description });
     }
 
-    /// Takes one observation in.
-    pub fn see(&mut self, at: Ms, seen: Seen) {
-        match seen {
-            Seen::Asked { request, deadline } => drop(self.open.insert(request, deadline)),
-            Seen::Left { request } => drop(self.open.remove(&request)),
-            Seen::Answered { request, copy } => {
-                match self.open.remove(&request) {
+    /// Processes one observation.
+    pub fn observe(&mut self, at: Ms, observation: Observation) {
+        match observation {
+            Observation::Requested { request, deadline } => drop(self.unanswered.insert(request, deadline)),
+            Observation::Abandoned { request } => drop(self.unanswered.remove(&request)),
+            Observation::Answered { request, copy } => {
+                match self.unanswered.remove(&request) {
                     Some(deadline) if at > deadline + self.slack => {
-                        let late = at - deadline;
-                        self.breaks(
+                        let overdue = at - deadline;
+                        self.record_violation(
                             Rule::Lost,
                             at,
-                            format!("request {request} was answered {late:.0} ms too late"),
+                            format!("request {request} was answered {overdue:.0} ms after its deadline"),
                         );
                     }
                     Some(_) => {}
-                    None if self.done.contains_key(&request) => {
-                        self.breaks(Rule::Lost, at, format!("request {request} was answered twice"));
+                    None if self.answered.contains_key(&request) => {
+                        self.record_violation(
+                            Rule::Lost,
+                            at,
+                            format!("request {request} was answered twice"),
+                        );
                     }
                     None => {}
                 }
-                self.done.insert(request, at);
-                let Some((object, dated)) = copy else { return };
+                self.answered.insert(request, at);
+                let Some((object, made_at)) = copy else { return };
                 let purge = self.purges.get(&object).copied();
-                if purge.is_some_and(|p| at > p + PURGE + self.slack && dated < p) {
-                    self.breaks(
-                        Rule::Purged,
+                if purge.is_some_and(|p| at > p + PURGE_GRACE + self.slack && made_at < p) {
+                    self.record_violation(
+                        Rule::StaleAfterPurge,
                         at,
-                        format!("object {object:016x} was answered from before its purge"),
+                        format!("object {object:016x} was answered with a copy made before its purge"),
                     );
                 }
             }
-            Seen::Work { node, source } => {
-                for used in [Some(node), source].into_iter().flatten() {
-                    if self.draining.get(&used).is_some_and(|since| at > since + DRAIN + self.slack) {
-                        self.breaks(Rule::Drained, at, format!("node {used} has work though it drains"));
+            Observation::WorkAssigned { node, source } => {
+                for busy in [Some(node), source].into_iter().flatten() {
+                    if self
+                        .draining
+                        .get(&busy)
+                        .is_some_and(|draining_since| at > draining_since + DRAIN_GRACE + self.slack)
+                    {
+                        self.record_violation(
+                            Rule::WorkWhileDraining,
+                            at,
+                            format!("node {busy} got work while draining"),
+                        );
                     }
                 }
-                self.press(node, at);
+                self.record_work(node, at);
                 if let Some(source) = source {
-                    self.press(source, at);
+                    self.record_work(source, at);
                 }
             }
-            Seen::Ran { key } => {
-                let runs = self.runs.entry(key).or_insert(0);
-                *runs += 1;
-                if *runs == 2 {
-                    self.breaks(Rule::Twice, at, format!("key {key:016x} ran again"));
+            Observation::Executed { key } => {
+                let executions = self.executions.entry(key).or_insert(0);
+                *executions += 1;
+                if *executions == 2 {
+                    self.record_violation(
+                        Rule::DuplicateExecution,
+                        at,
+                        format!("key {key:016x} was executed again"),
+                    );
                 }
             }
-            Seen::Drains { node } => drop(self.draining.entry(node).or_insert(at)),
-            Seen::Serves { node } => drop(self.draining.remove(&node)),
-            Seen::Started { node, bears, from, span, warm_after } => {
-                self.cold.insert(node, (Cold { since: at, bears, from, span, warm_after }, Vec::new()));
+            Observation::DrainAnnounced { node } => drop(self.draining.entry(node).or_insert(at)),
+            Observation::ServiceResumed { node } => drop(self.draining.remove(&node)),
+            Observation::Started { node, capacity, initial_fraction, window, warm_after } => {
+                self.cold_nodes.insert(
+                    node,
+                    (ColdNode { started_at: at, capacity, initial_fraction, window, warm_after }, Vec::new()),
+                );
             }
-            Seen::Purge { object } => {
+            Observation::PurgeAnnounced { object } => {
                 let last = self.purges.entry(object).or_insert(at);
                 *last = last.max(at);
             }
         }
     }
 
-    /// Work on a node that may be cold.
-    fn press(&mut self, node: u64, at: Ms) {
-        let Some((cold, work)) = self.cold.get_mut(&node) else { return };
-        if at - cold.since > cold.warm_after {
-            self.cold.remove(&node);
+    /// Counts a request at a node and reports it if the node is cold and over its capacity.
+    fn record_work(&mut self, node: u64, at: Ms) {
+        let Some((cold, work)) = self.cold_nodes.get_mut(&node) else { return };
+        if at - cold.started_at > cold.warm_after {
+            self.cold_nodes.remove(&node);
             return;
         }
-        work.retain(|w| at - w < cold.span);
+        work.retain(|w| at - w < cold.window);
         work.push(at);
-        let risen = ((at - cold.since) / cold.warm_after).clamp(0.0, 1.0);
-        let bears = cold.bears * (cold.from + (1.0 - cold.from) * risen);
-        if work.len() as f64 > bears {
-            let (many, span) = (work.len(), cold.span);
+        let warmed = ((at - cold.started_at) / cold.warm_after).clamp(0.0, 1.0);
+        let capacity = cold.capacity * (cold.initial_fraction + (1.0 - cold.initial_fraction) * warmed);
+        if work.len() as f64 > capacity {
+            let (count, window) = (work.len(), cold.window);
             work.clear();
-            self.breaks(
-                Rule::PushedOver,
+            self.record_violation(
+                Rule::ColdOverload,
                 at,
-                format!("node {node} has {many} in {span:.0} ms, bears {bears:.0}"),
+                format!("node {node} got {count} requests in {window:.0} ms, its capacity is {capacity:.0}"),
             );
         }
     }
 
-    /// All that was asked is over by now; what is open past its deadline is lost.
-    pub fn end(mut self, now: Ms) -> Vec<Broken> {
-        let late: Vec<u64> =
-            self.open.iter().filter(|(_, deadline)| now > **deadline + self.slack).map(|(r, _)| *r).collect();
-        for request in late {
-            self.breaks(Rule::Lost, now, format!("request {request} has no answer"));
+    /// Ends the observation: requests that are still open past their deadline are lost. Returns all violations by time.
+    pub fn finish(mut self, now: Ms) -> Vec<Violation> {
+        let overdue: Vec<u64> = self
+            .unanswered
+            .iter()
+            .filter(|(_, deadline)| now > **deadline + self.slack)
+            .map(|(r, _)| *r)
+            .collect();
+        for request in overdue {
+            self.record_violation(Rule::Lost, now, format!("request {request} has no answer"));
         }
-        self.broken.sort_by(|a, b| a.at.total_cmp(&b.at));
-        self.broken
+        self.violations.sort_by(|a, b| a.at.total_cmp(&b.at));
+        self.violations
     }
 }
--- a/rules/src/spends.rs
+++ b/rules/src/spends.rs
@@ -1,89 +1,103 @@
-//! What all fronts together spend of a budget: in any window of length t at most rate·t + burst.
+//! Checks that all fronts together spend at most rate·t + burst of a budget in any window of length t.
 //!
-//! The check is exact and needs no windows: a level that falls by the rate and rises by each spending is above the burst
-//! at some moment exactly if some window that ends there holds more than rate·t + burst.
+//! The check is exact without enumerating windows: a leaky-bucket level that falls at the rate and rises with each
+//! spending exceeds the burst at some moment if and only if a window that ends there holds more than rate·t + burst.
 
 use std::collections::BTreeMap;
 
-/// A whole budget: units a second, and units at once.
+/// The limit of a budget for all fronts together.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Whole {
+pub struct SpendLimit {
+    /// Units per second.
     pub rate: f64,
+    /// Units that may be spent at once.
     pub burst: f64,
 }
 
+/// A moment at which the level of a budget was above its burst.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Over<K> {
+pub struct Excess<K> {
+    /// The budget.
     pub key: K,
-    /// Microseconds, as the records count them.
+    /// Time in microseconds, on the clock of the records.
     pub at: u64,
-    /// What some window up to here held above rate·t, and what it may.
+    /// Units above rate·t in the fullest window that ends here.
     pub level: f64,
+    /// Units above rate·t that a window may hold.
     pub burst: f64,
 }
 
+/// The leaky-bucket level of one budget.
 #[derive(Clone, Debug, Default)]
 struct Level {
     level: f64,
     at: u64,
-    highest: f64,
+    peak: f64,
     spent: f64,
 }
 
-/// Sums spendings of all fronts, in the order of their times.
+/// Adds up the spendings of all fronts, in the order of their times.
 #[derive(Clone, Debug)]
-pub struct Spends<K> {
-    wholes: BTreeMap<K, Whole>,
+pub struct SpendChecker<K> {
+    limits: BTreeMap<K, SpendLimit>,
     levels: BTreeMap<K, Level>,
-    /// Spendings of budgets that are not known.
-    pub unknown: u64,
-    pub over: Vec<Over<K>>,
+    /// Number of spendings of budgets that have no limit set.
+    pub unknown_spendings: u64,
+    /// The first excesses, up to a maximum count.
+    pub excesses: Vec<Excess<K>>,
 }
 
-/// Breaches that are kept.
-const KEPT: usize = 100;
+/// Maximum number of excesses that are recorded.
+const MAX_RECORDED_EXCESSES: usize = 100;
 
-impl<K: Ord + Clone> Spends<K> {
-    pub fn new() -> Spends<K> {
-        Spends { wholes: BTreeMap::new(), levels: BTreeMap::new(), unknown: 0, over: Vec::new() }
+impl<K: Ord + Clone> SpendChecker<K> {
+    /// A checker without budgets.
+    pub fn new() -> SpendChecker<K> {
+        SpendChecker {
+            limits: BTreeMap::new(),
+            levels: BTreeMap::new(),
+            unknown_spendings: 0,
+            excesses: Vec::new(),
+        }
     }
 
-    pub fn know(&mut self, key: K, whole: Whole) {
-        self.wholes.insert(key, whole);
+    /// Sets the limit of a budget.
+    pub fn set_limit(&mut self, key: K, limit: SpendLimit) {
+        self.limits.insert(key, limit);
     }
 
-    /// A spending; times may not go back.
-    pub fn spent(&mut self, key: K, units: f64, at: u64) {
-        let Some(whole) = self.wholes.get(&key) else {
-            self.unknown += 1;
+    /// Records a spending. Times must not decrease.
+    pub fn record(&mut self, key: K, units: f64, at: u64) {
+        let Some(limit) = self.limits.get(&key) else {
+            self.unknown_spendings += 1;
             return;
         };
         let level = self.levels.entry(key.clone()).or_default();
         let passed = at.saturating_sub(level.at) as f64 / 1e6;
-        level.level = (level.level - whole.rate * passed).max(0.0) + units;
+        level.level = (level.level - limit.rate * passed).max(0.0) + units;
         level.at = level.at.max(at);
         level.spent += units;
-        level.highest = level.highest.max(level.level);
-        if level.level > whole.burst + 1e-6 && self.over.len() < KEPT {
-            self.over.push(Over { key, at, level: level.level, burst: whole.burst });
+        level.peak = level.peak.max(level.level);
+        if level.level > limit.burst + 1e-6 && self.excesses.len() < MAX_RECORDED_EXCESSES {
+            self.excesses.push(Excess { key, at, level: level.level, burst: limit.burst });
         }
     }
 
-    /// All that was spent of a budget.
-    pub fn sum(&self, key: &K) -> f64 {
+    /// Total units spent of a budget.
+    pub fn total(&self, key: &K) -> f64 {
         self.levels.get(key).map_or(0.0, |l| l.spent)
     }
 
-    /// How near the fullest window came to what it may hold: 1 is at the bound, above is a breach.
-    pub fn closest(&self, key: &K) -> f64 {
-        let burst = self.wholes.get(key).map_or(0.0, |w| w.burst);
-        self.levels.get(key).map_or(0.0, |l| l.highest / burst.max(1e-9))
+    /// Fill of the fullest window relative to the burst: 1 is at the limit, more is an excess.
+    pub fn peak_ratio(&self, key: &K) -> f64 {
+        let burst = self.limits.get(key).map_or(0.0, |w| w.burst);
+        self.levels.get(key).map_or(0.0, |l| l.peak / burst.max(1e-9))
     }
 }
 
-impl<K: Ord + Clone> Default for Spends<K> {
+impl<K: Ord + Clone> Default for SpendChecker<K> {
     fn default() -> Self {
-        Spends::new()
+        SpendChecker::new()
     }
 }
 
@@ -91,17 +105,17 @@
 mod tests {
     use super::*;
 
-    /// Against all windows, one by one.
+    /// Compares the level with a check of every window.
     #[test]
-    fn the_level_finds_what_windows_find() {
+    fn the_level_finds_an_excess_exactly_if_some_window_has_one() {
         let mut seed = 1u64;
-        let mut draw = |most: u64| {
+        let mut draw = |limit_exclusive: u64| {
             seed = seed.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
-            (seed >> 33) % most
+            (seed >> 33) % limit_exclusive
         };
         let (mut found, mut clean) = (0, 0);
         for _ in 0..400 {
-            let whole = Whole { rate: 5.0, burst: 4.0 };
+            let limit = SpendLimit { rate: 5.0, burst: 4.0 };
             let mut at = 0;
             let events: Vec<(u64, f64)> = (0..30)
                 .map(|_| {
@@ -109,21 +123,21 @@
                     (at, 1.0)
                 })
                 .collect();
-            let mut spends = Spends::new();
-            spends.know((), whole);
-            events.iter().for_each(|(at, units)| spends.spent((), *units, *at));
+            let mut checker = SpendChecker::new();
+            checker.set_limit((), limit);
+            events.iter().for_each(|(at, units)| checker.record((), *units, *at));
             let mut over = false;
             for (i, (from, _)) in events.iter().enumerate() {
-                let mut sum = 0.0;
+                let mut total = 0.0;
                 for (to, units) in &events[i..] {
-                    sum += units;
-                    over |= sum > whole.rate * (to - from) as f64 / 1e6 + whole.burst + 1e-6;
+                    total += units;
+                    over |= total > limit.rate * (to - from) as f64 / 1e6 + limit.burst + 1e-6;
                 }
             }
-            assert_eq!(!spends.over.is_empty(), over);
+            assert_eq!(!checker.excesses.is_empty(), over);
             found += usize::from(over);
             clean += usize::from(!over);
         }
-        assert!(found > 20 && clean > 20, "{found} over, {clean} not");
+        assert!(found > 20 && clean > 20, "{found} runs with an excess, {clean} without");
     }
 }
--- a/standins/src/fleet.rs
+++ b/standins/src/fleet.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use elmtide_rules::spends::{Spends, Whole};
+use elmtide_rules::spends::{SpendChecker, SpendLimit};
 use serde_json::Value;
 
 use crate::bus::{listed, Bus};
@@ -627,20 +627,20 @@
     }
 
     /// Adds up all records against the whole of each budget of a kind: of a box, a site or a shop.
-    pub fn check(&self, kind: &str, whole: Whole) -> Result<Checked, String> {
-        let mut spends = Spends::new();
+    pub fn check(&self, kind: &str, whole: SpendLimit) -> Result<Checked, String> {
+        let mut spends = SpendChecker::new();
         let mut by_front: BTreeMap<String, f64> = BTreeMap::new();
         let mut ids = std::collections::BTreeSet::new();
         for spent in self.records()?.iter().filter(|s| s.kind == kind) {
             if ids.insert(spent.id) {
-                spends.know(spent.id, whole);
+                spends.set_limit(spent.id, whole);
             }
-            spends.spent(spent.id, spent.units, spent.at);
+            spends.record(spent.id, spent.units, spent.at);
             *by_front.entry(spent.front.clone()).or_default() += spent.units;
         }
-        let closest = ids.iter().map(|id| spends.closest(id)).fold(0.0, f64::max);
-        let sum = ids.iter().map(|id| spends.sum(id)).sum();
-        match spends.over.first() {
+        let closest = ids.iter().map(|id| spends.peak_ratio(id)).fold(0.0, f64::max);
+        let sum = ids.iter().map(|id| spends.total(id)).sum();
+        match spends.excesses.first() {
             None => Ok(Checked { closest, sum, by_front }),
             Some(over) => Err(format!(
                 "seed {}: a window up to {} us held {:.2} above the rate, {:.2} may; {} such moments",
@@ -648,7 +648,7 @@
                 over.at,
                 over.level,
                 over.burst,
-                spends.over.len()
+                spends.excesses.len()
             )),
         }
     }
