--- a/front/src/client/bus.rs
+++ b/front/src/client/bus.rs
@@ -175,11 +175,11 @@
             }
             let mut bytes = Vec::new();
             loop {
-                let request = bus::read_request(&host, self.last, HOLD_MS);
+                let request = bus::encode_read_request(&host, self.last, HOLD_MS);
                 (&*stream).write_all(request.as_bytes()).map_err(failed("write"))?;
                 let (body, keep) = response(&stream, &mut bytes)?;
                 let value = serde_json::from_slice(&body).map_err(|e| format!("no JSON: {e}"))?;
-                if !self.apply(bus::batch(&value))? {
+                if !self.apply(bus::parse_batch(&value))? {
                     return Ok(());
                 }
                 *pause = PAUSE.0;
@@ -245,20 +245,20 @@
     let mut ended = false;
     let mut until = Instant::now() + SILENCE;
     loop {
-        if let Some(head) = http::response_head(bytes)? {
-            let rest = &bytes[head.size..];
+        if let Some(head) = http::parse_response_head(bytes)? {
+            let rest = &bytes[head.head_bytes..];
             let whole = match head.body {
                 Body::Length(length) if rest.len() >= length => Some((rest[..length].to_vec(), length)),
                 Body::Length(_) => None,
-                Body::Chunked => http::chunked(rest)?,
+                Body::Chunked => http::decode_chunked(rest)?,
                 Body::UntilClose => ended.then(|| (rest.to_vec(), rest.len())),
             };
             if let Some((body, used)) = whole {
                 if head.status != 200 {
                     return Err(format!("status {}", head.status));
                 }
-                bytes.drain(..head.size + used);
-                return Ok((body, head.keep && !ended));
+                bytes.drain(..head.head_bytes + used);
+                return Ok((body, head.keep_alive && !ended));
             }
         }
         if ended {
--- a/front/src/client/connection.rs
+++ b/front/src/client/connection.rs
@@ -17,7 +17,7 @@
 use crate::process::backoff::Backoff;
 use crate::process::socket_error::{remedy, Call, Remedy};
 use crate::process::spawn;
-use crate::wire::lines::{Answer, Word, LONGEST_LINE};
+use crate::wire::lines::{Answer, Word, MAX_LINE_BYTES};
 
 /// What an answer is given to begin with.
 const FIRST_BYTES: usize = 64 * 1024;
@@ -279,7 +279,7 @@
                 Err(why) if why.kind() == io::ErrorKind::Interrupted => continue,
                 Err(_) => return,
             }
-            let got = (&mut reader).take(LONGEST_LINE as u64).read_until(b'\n', &mut line);
+            let got = (&mut reader).take(MAX_LINE_BYTES as u64).read_until(b'\n', &mut line);
             if !matches!(got, Ok(n) if n > 0) || line.last() != Some(&b'\n') {
                 return;
             }
--- a/front/src/client/pool.rs
+++ b/front/src/client/pool.rs
@@ -15,7 +15,7 @@
 use crate::memory::counters::Counters;
 use crate::memory::members::Members;
 use crate::process::clock;
-use crate::wire::lines::{never_mind, there, Want};
+use crate::wire::lines::{encode_never_mind, encode_there, Want};
 
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
@@ -174,7 +174,7 @@
 
     fn abandon(&mut self, key: AttemptKey) -> Option<Progress> {
         let (connection, tag) = self.out.remove(&key)?;
-        connection.give_up(&tag, key, never_mind(tag.as_str()))
+        connection.give_up(&tag, key, encode_never_mind(tag.as_str()))
     }
 
     fn withdraw(&mut self, key: AttemptKey) -> bool {
@@ -207,12 +207,12 @@
             guarded: false,
             members: [Some(member), None],
         };
-        self.dispatch(member, &opening, &there(tag.as_str())).map(drop)
+        self.dispatch(member, &opening, &encode_there(tag.as_str())).map(drop)
     }
 
     fn check_connections(&mut self) {
         let Some(tag) = self.tag() else { return };
-        let frame = self.limits.probes.then(|| there(tag.as_str()));
+        let frame = self.limits.probes.then(|| encode_there(tag.as_str()));
         self.connections.values().flatten().for_each(|c| c.look(&tag, frame.clone()));
     }
 
--- a/front/src/fleet/probe.rs
+++ b/front/src/fleet/probe.rs
@@ -83,7 +83,7 @@
             None => TcpStream::connect_timeout(&self.boxes[self.next], patience).ok()?,
         };
         stream.set_write_timeout(Some(patience)).ok()?;
-        stream.write_all(&lines::there("site")).ok()?;
+        stream.write_all(&lines::encode_there("site")).ok()?;
         let mut bytes = [0; 256];
         let mut got = 0;
         // A line that names what was asked; of a box that says more than that no more is read.
--- a/front/src/lifecycle/config.rs
+++ b/front/src/lifecycle/config.rs
@@ -104,7 +104,7 @@
             None => address(&root, "listen")?,
         };
         let seed = root["seed"].as_str().ok_or("seed is missing or no text")?;
-        let (known, bad) = bus::batch(&root["known"]).map_err(|why| format!("known: {why}"))?;
+        let (known, bad) = bus::parse_batch(&root["known"]).map_err(|why| format!("known: {why}"))?;
         if let Some((number, why)) = bad.first() {
             return Err(format!("known: event {number}: {why}"));
         }
--- a/front/src/lifecycle/edge.rs
+++ b/front/src/lifecycle/edge.rs
@@ -32,7 +32,7 @@
 use crate::memory::mode::State as ProcessState;
 use crate::process::start_gate::StartGate;
 use crate::process::{clock, spawn};
-use crate::server::dns::{DnsSockets, Shared};
+use crate::server::dns::{DnsContext, DnsSockets};
 use crate::server::http;
 
 /// The state of the fronts is looked at so often.
@@ -84,8 +84,8 @@
     in_force: Arc<InForce>,
     listeners: Mutex<BTreeMap<Listens, Listener>>,
     live: Mutex<Live>,
-    dns: Arc<Shared>,
-    site: Arc<http::Site>,
+    dns: Arc<DnsContext>,
+    site: Arc<http::HttpContext>,
     counters: Arc<Counters>,
     /// How long a key is left alone after it has changed hands, where the file does not say.
     longest: Longest,
@@ -100,8 +100,8 @@
         name: String,
         in_force: Arc<InForce>,
         counters: Arc<Counters>,
-        dns: Arc<Shared>,
-        site: http::Site,
+        dns: Arc<DnsContext>,
+        site: http::HttpContext,
         longest: Longest,
     ) -> Arc<Edge> {
         let live = Live {
@@ -364,7 +364,7 @@
         let stop = Arc::new(AtomicBool::new(false));
         let started = match sockets {
             Bound::Dns(sockets) => {
-                let at = sockets.at();
+                let at = sockets.local_addr();
                 at.and_then(|at| sockets.start(&self.in_force, &self.dns, &stop, gate).map(|()| at))
             }
             Bound::Http(listener) => {
--- a/front/src/lifecycle/reload.rs
+++ b/front/src/lifecycle/reload.rs
@@ -63,7 +63,7 @@
         let done = move |taken: Result<Vec<Class>, String>| match taken {
             Ok(classes) => {
                 let names: Vec<_> = classes.iter().map(|c| c.name.clone()).collect();
-                intake.retune(classes);
+                intake.replace_classes(classes);
                 // Whoever goes by the log may send at once.
                 eprintln!("reload: {} classes are in force: {}", names.len(), names.join(", "));
             }
--- a/front/src/lifecycle/second_front.rs
+++ b/front/src/lifecycle/second_front.rs
@@ -25,7 +25,7 @@
 use crate::process::log::Log;
 use crate::process::{random_secret, spawn};
 use crate::server::clients::Clients;
-use crate::server::http::Site;
+use crate::server::http::HttpContext;
 use crate::server::{dns, Intake};
 
 /// Where the second front's file is, and where plan and apply find the program.
@@ -71,7 +71,7 @@
         let names =
             resolver::Client::new(config.names.clone(), inputs.clone(), in_force.clone(), random_secret());
         names.start().map_err(|e| format!("resolver thread: {e}"))?;
-        let shared = dns::Shared {
+        let shared = dns::DnsContext {
             counts: Arc::default(),
             datagrams: Arc::default(),
             log: Log::default(),
@@ -81,7 +81,7 @@
         let _ = counters.dns_datagrams.set(shared.datagrams.clone());
         let ledger = Arc::new(Ledger::new([(); 4].map(|()| random_secret()), longest.clone()));
         let handover = Handover::from_env(&config.name, Run(random_secret()));
-        let site = Site {
+        let site = HttpContext {
             name: config.name.clone(),
             intake: intake.clone(),
             clients: clients.clone(),
@@ -89,7 +89,7 @@
             in_force: in_force.clone(),
             sites,
             seed: config.seed,
-            jobs: AtomicU64::new(1),
+            job_counter: AtomicU64::new(1),
         };
         let (name, counts) = (config.name.clone(), counters.clone());
         let edge = Edge::new(name, in_force, counts, Arc::new(shared), site, longest.clone());
--- a/front/src/lifecycle/serve.rs
+++ b/front/src/lifecycle/serve.rs
@@ -102,7 +102,7 @@
 
     // The usual clients hold a third of the descriptors at most, connections to cache nodes another.
     let clients = Clients::new(config.sockets / 2);
-    clients.watch(&counters).map_err(|e| format!("watch thread: {e}"))?;
+    clients.start_watch(&counters).map_err(|e| format!("watch thread: {e}"))?;
     let second_front = if second.file.exists() {
         let process = SecondFrontContext {
             config: &config,
@@ -141,7 +141,7 @@
         second_front.seal_ledger();
     }
     // After what is left to the next process: a kill may come meanwhile.
-    if !finish.within(&counters.mode, CLIENT_CLOSE_TIMEOUT) {
+    if !finish.close_within(&counters.mode, CLIENT_CLOSE_TIMEOUT) {
         eprintln!("draining: some clients have not closed their connections");
     }
     let _ = inputs.send(Input::Stop);
--- a/front/src/server/acceptor.rs
+++ b/front/src/server/acceptor.rs
@@ -1,5 +1,5 @@
-//! The listening socket of an event loop: while no connection can be accepted it is not listened to, so that the loop goes on
-//! for those that are there.
+//! The listening socket of an event loop. While the system cannot accept connections, the listener is deregistered from
+//! readiness events, so that the loop keeps serving the open connections.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -14,33 +14,35 @@
 /// A listener that is registered with an event loop.
 pub struct Acceptor {
     listener: TcpListener,
-    number: u64,
+    token: u64,
     policy: AcceptPolicy,
     resume_at: Option<Instant>,
     is_closed: bool,
 }
 
 impl Acceptor {
-    /// Registers a listener under a number of the event loop.
+    /// Registers a listener with the event loop under this token.
     ///
     /// # Errors
-    /// If the system refuses it.
-    pub fn register(epoll: &OwnedFd, listener: TcpListener, number: u64) -> io::Result<Acceptor> {
+    /// If the listener cannot be registered.
+    pub fn register(epoll: &OwnedFd, listener: TcpListener, token: u64) -> io::Result<Acceptor> {
         listener.set_nonblocking(true)?;
-        epoll::add(epoll, &listener, EventData::new_u64(number), EventFlags::IN)?;
-        Ok(Acceptor { listener, number, policy: AcceptPolicy::default(), resume_at: None, is_closed: false })
+        epoll::add(epoll, &listener, EventData::new_u64(token), EventFlags::IN)?;
+        Ok(Acceptor { listener, token, policy: AcceptPolicy::default(), resume_at: None, is_closed: false })
     }
 
+    /// The address of the listener.
+    ///
     /// # Errors
     /// As the system call.
     pub fn local_addr(&self) -> io::Result<SocketAddr> {
         self.listener.local_addr()
     }
 
-    /// The next connection, if one waits.
+    /// Accepts the next pending connection, if there is one.
     ///
     /// # Errors
-    /// Why none can be accepted for now.
+    /// The reason why no connection can be accepted at the moment.
     pub fn accept(&mut self, epoll: &OwnedFd) -> io::Result<Option<(TcpStream, SocketAddr)>> {
         if self.resume_at.is_some() {
             return Ok(None);
@@ -62,31 +64,31 @@
 
     fn pause(&mut self, epoll: &OwnedFd, pause: Duration) {
         self.resume_at = Some(Instant::now() + pause);
-        if epoll::modify(epoll, &self.listener, EventData::new_u64(self.number), EventFlags::empty()).is_err()
+        if epoll::modify(epoll, &self.listener, EventData::new_u64(self.token), EventFlags::empty()).is_err()
         {
-            // It stays readable: the loop would turn without a rest.
+            // The listener stays readable, so the loop would spin without this pause.
             std::thread::sleep(pause);
         }
     }
 
-    /// Listens again once a pause is over. To be called at each turn of the loop.
+    /// Resumes listening once a pause is over. Called at every turn of the loop.
     pub fn resume(&mut self, epoll: &OwnedFd) {
-        let is_over = self.resume_at.is_some_and(|at| at <= Instant::now());
-        if is_over
-            && epoll::modify(epoll, &self.listener, EventData::new_u64(self.number), EventFlags::IN).is_ok()
+        let is_pause_over = self.resume_at.is_some_and(|at| at <= Instant::now());
+        if is_pause_over
+            && epoll::modify(epoll, &self.listener, EventData::new_u64(self.token), EventFlags::IN).is_ok()
         {
             self.resume_at = None;
         }
     }
 
-    /// How long the loop may wait, if it would wait so long otherwise.
-    pub fn wait_at_most(&self, usual: Duration) -> Timespec {
+    /// The timeout of the next poll: at most `max_wait`, less if a pause ends sooner.
+    pub fn poll_timeout(&self, max_wait: Duration) -> Timespec {
         let left = self.resume_at.map(|at| at.saturating_duration_since(Instant::now()));
-        let wait = left.map_or(usual, |left| left.min(usual));
+        let wait = left.map_or(max_wait, |left| left.min(max_wait));
         Timespec { tv_sec: wait.as_secs() as i64, tv_nsec: i64::from(wait.subsec_nanos()) }
     }
 
-    /// Takes no connections any more; true once that is so.
+    /// Stops accepting connections. True if the listener is closed.
     pub fn close(&mut self, epoll: &OwnedFd) -> bool {
         if !self.is_closed && epoll::delete(epoll, &self.listener).is_ok() {
             self.is_closed = true;
@@ -95,7 +97,7 @@
         self.is_closed
     }
 
-    /// Whether it takes connections, now or after a pause.
+    /// Whether the listener accepts connections, now or after a pause.
     pub fn is_open(&self) -> bool {
         !self.is_closed
     }
--- a/front/src/server/clients.rs
+++ b/front/src/server/clients.rs
@@ -1,6 +1,6 @@
-//! The client connections that are open: bounded in all and for each address, so that one flood can't starve
-//! the others. Room for a new connection is made by closing one that asks for nothing; one that does not bring
-//! a whole request in time, or does not take its answer in, is closed.
+//! The open client connections, bounded in total and for each address, so that a flood from one address cannot starve
+//! the others. At the bound, an idle connection is closed to make room for a new one. A connection that does not send a
+//! whole request, or does not read its answer, within its timeout is closed.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -14,259 +14,270 @@
 use crate::memory::counters::{Counters, Unwritten};
 use crate::process::{clock, spawn_at_start};
 
-/// A request is whole within so long of its first byte, and the first of a connection of its start.
-pub const REQUEST: Duration = Duration::from_millis(2200);
-/// An answer is taken in within so long.
-const TAKEN_IN: Duration = Duration::from_secs(6);
-/// A connection that has brought requests and brings no more is closed after so long.
-const IDLE: Duration = Duration::from_secs(60);
-/// How often the table is looked through.
-const LOOK: Duration = Duration::from_millis(200);
-/// Parts of the connections and of the open requests that one address may have.
-const PER_ADDRESS: usize = 2;
-/// Requests open at most, from all clients.
-const REQUESTS: usize = 1000;
-/// Connections that are closed already, but whose threads have not ended yet, over those allowed.
-const ENDING: usize = 32;
-
-/// What a client speaks.
+/// A request must be complete this long after its first byte; the first request of a connection, this long after the
+/// connection was accepted.
+pub const REQUEST_TIMEOUT: Duration = Duration::from_millis(2200);
+/// An answer must be read by the client within this time.
+const ANSWER_READ_TIMEOUT: Duration = Duration::from_secs(6);
+/// A connection that has sent requests before is closed after being idle for this long.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
+/// The interval at which connections are checked for expired deadlines.
+const WATCH_INTERVAL: Duration = Duration::from_millis(200);
+/// One address may hold at most this fraction (1 / N) of the connections and of the open requests.
+const ADDRESS_SHARE_DIVISOR: usize = 2;
+/// The maximum number of open requests from all clients.
+const MAX_OPEN_REQUESTS: usize = 1000;
+/// How many connections that are closed, but whose threads have not ended yet, may exist on top of the maximum.
+const MAX_CLOSING_CONNECTIONS: usize = 32;
+
+/// The protocol of a client connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Protocol {
-    /// The thread of the sockets looks at each connection by itself.
+    /// The thread that serves these sockets checks each connection for the drain itself.
     FastCgi,
-    /// Each connection has a thread, which waits for its client: it is released by the watch.
+    /// Each connection has a thread that blocks on its client, so the watch thread releases it in a drain.
     Http,
 }
 
-/// What one connection is doing.
+/// The activity of one connection.
 #[derive(Debug)]
 pub struct Client {
     stream: Arc<TcpStream>,
     protocol: Protocol,
     address: IpAddr,
-    table: Arc<Table>,
-    /// Has brought a request that could be used.
-    heard: AtomicBool,
-    open: AtomicUsize,
-    /// It is being closed by us. Set and asked under the table's lock: what is read after that is not sent on.
-    closed: AtomicBool,
-    /// Milliseconds of the table's clock: when it last had something to do, and until when it must have brought
-    /// or taken in what it has begun (0: it has begun nothing).
-    idle_since: AtomicU64,
-    bring_by: AtomicU64,
-    take_by: AtomicU64,
+    registry: Arc<Registry>,
+    /// It has sent a valid request.
+    has_sent_request: AtomicBool,
+    open_requests: AtomicUsize,
+    /// This side is closing the connection. Set and read under the registry lock; what is read from the socket
+    /// afterwards is not forwarded.
+    is_closing: AtomicBool,
+    /// Milliseconds of the registry clock: the last activity, and the deadlines by which the client must have sent what
+    /// it began to send, and read what is being written (0: nothing is in progress).
+    idle_since_ms: AtomicU64,
+    receive_deadline_ms: AtomicU64,
+    write_deadline_ms: AtomicU64,
 }
 
 impl Client {
-    /// What has begun to come is to be whole by then; none where nothing has begun.
-    pub fn brings(&self, since: Option<Instant>) {
-        let due = since.map(|since| self.table.millis(since + REQUEST));
-        let first = if self.heard.load(Relaxed) { 0 } else { self.bring_by.load(Relaxed) };
-        self.bring_by.store(due.unwrap_or(first), Relaxed);
+    /// Sets the receive deadline for a request whose first byte came at `since`; `None` if no request is partially
+    /// received. Before the first request of the connection its initial deadline stays.
+    pub fn set_receive_start(&self, since: Option<Instant>) {
+        let deadline = since.map(|since| self.registry.to_millis(since + REQUEST_TIMEOUT));
+        let initial =
+            if self.has_sent_request.load(Relaxed) { 0 } else { self.receive_deadline_ms.load(Relaxed) };
+        self.receive_deadline_ms.store(deadline.unwrap_or(initial), Relaxed);
     }
 
-    pub fn heard(&self) {
-        self.heard.store(true, Relaxed);
-        self.touch();
+    /// A valid request has been received.
+    pub fn record_valid_request(&self) {
+        self.has_sent_request.store(true, Relaxed);
+        self.record_activity();
     }
 
-    fn touch(&self) {
-        self.idle_since.store(self.table.millis(Instant::now()), Relaxed);
+    /// Records activity, which restarts the idle timeout.
+    fn record_activity(&self) {
+        self.idle_since_ms.store(self.registry.to_millis(Instant::now()), Relaxed);
     }
 
-    /// An answer begins to be written, and must be taken in soon.
-    pub fn takes(&self) {
-        self.take_by.store(self.table.millis(Instant::now() + TAKEN_IN), Relaxed);
+    /// An answer is about to be written; the client must read it by the write deadline.
+    pub fn start_write(&self) {
+        self.write_deadline_ms.store(self.registry.to_millis(Instant::now() + ANSWER_READ_TIMEOUT), Relaxed);
     }
 
-    pub fn took(&self) {
-        self.take_by.store(0, Relaxed);
+    /// The answer has been written.
+    pub fn finish_write(&self) {
+        self.write_deadline_ms.store(0, Relaxed);
     }
 
-    /// A drain in this phase closes the connection, as far as that is for the watch to do.
+    /// Whether a drain in this phase closes the connection, if the watch thread is responsible for it.
     fn is_released(&self, phase: DrainPhase) -> bool {
-        let heard = self.heard.load(Relaxed);
-        let begun = heard && self.bring_by.load(Relaxed) > 0;
+        let has_sent_request = self.has_sent_request.load(Relaxed);
+        let has_partial_request = has_sent_request && self.receive_deadline_ms.load(Relaxed) > 0;
         let activity = ConnectionActivity {
-            owes_answer: self.open.load(Relaxed) > 0,
-            partial_requests: usize::from(begun),
+            owes_answer: self.open_requests.load(Relaxed) > 0,
+            partial_requests: usize::from(has_partial_request),
             has_partial_input: false,
-            has_unread_input: self.has_unread(),
-            has_brought_request: heard,
+            has_unread_input: self.has_unread_bytes(),
+            has_brought_request: has_sent_request,
         };
-        let is_closed = self.closed.load(Relaxed);
+        let already_closed = self.is_closing.load(Relaxed);
         self.protocol == Protocol::Http
-            && !is_closed
+            && !already_closed
             && phase.connection_action(activity) == ConnectionAction::Close
     }
 
-    fn shut(&self) {
+    fn shut_down(&self) {
         let _ = self.stream.shutdown(Shutdown::Both);
     }
 
-    /// Bytes have come that nobody has looked at.
-    pub fn has_unread(&self) -> bool {
+    /// Whether received bytes have not been read yet.
+    pub fn has_unread_bytes(&self) -> bool {
         rustix::io::ioctl_fionread(&self.stream).is_ok_and(|n| n > 0)
     }
 
-    /// Ends our side of the connection, if no request is open on it: true if it is ended. What has been written still
-    /// goes out; what still comes is the client's to send again, and has to be read and dropped, since a close over
-    /// unread bytes takes with it what was written.
+    /// Ends our side of the connection if no request is open on it; true if it did. Written data still goes out. What
+    /// the client sends from now on it has to send again on another connection; it must still be read and discarded,
+    /// since closing a socket with unread bytes resets it and loses what was written.
     pub fn close_idle(&self) -> bool {
-        let _book = self.table.book();
-        let idle = self.open.load(Relaxed) == 0;
+        let _state = self.registry.lock();
+        let idle = self.open_requests.load(Relaxed) == 0;
         if idle {
-            self.closed.store(true, Relaxed);
+            self.is_closing.store(true, Relaxed);
             let _ = self.stream.shutdown(Shutdown::Write);
         }
         idle
     }
 
-    /// A request has come whole.
-    pub fn open(self: &Arc<Self>, counters: &Arc<Counters>) -> Result<Owed, NotTaken> {
-        let mut book = self.table.book();
-        if self.closed.load(Relaxed) {
-            return Err(NotTaken::Closed);
+    /// Opens a request that has been received completely.
+    pub fn open_request(self: &Arc<Self>, counters: &Arc<Counters>) -> Result<OpenRequestGuard, OpenError> {
+        let mut state = self.registry.lock();
+        if self.is_closing.load(Relaxed) {
+            return Err(OpenError::Closed);
         }
-        if book.requests >= REQUESTS {
-            return Err(NotTaken::TooMany);
+        if state.requests >= MAX_OPEN_REQUESTS {
+            return Err(OpenError::TooMany);
         }
-        let of_address = book.addresses.entry(self.address).or_default();
-        if of_address.requests >= REQUESTS / PER_ADDRESS {
-            return Err(NotTaken::TooMany);
+        let usage = state.addresses.entry(self.address).or_default();
+        if usage.requests >= MAX_OPEN_REQUESTS / ADDRESS_SHARE_DIVISOR {
+            return Err(OpenError::TooMany);
         }
-        of_address.requests += 1;
-        book.requests += 1;
-        self.open.fetch_add(1, Relaxed);
-        Ok(Owed { client: self.clone(), _unwritten: Unwritten::new(counters) })
+        usage.requests += 1;
+        state.requests += 1;
+        self.open_requests.fetch_add(1, Relaxed);
+        Ok(OpenRequestGuard { client: self.clone(), _unwritten: Unwritten::new(counters) })
     }
 }
 
-/// Why a request that has come whole is not taken.
+/// Why a complete request is not accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NotTaken {
-    /// This address, or all together, have too many open.
+pub enum OpenError {
+    /// This address, or all addresses together, have too many open requests.
     TooMany,
-    /// It has crossed the close of its connection: its client sends it again on a new one.
+    /// The connection was being closed when the request arrived; the client sends it again on a new one.
     Closed,
 }
 
-/// Held from a request's last byte until its answer is written.
+/// An open request: held from its last byte until its answer is written.
 #[derive(Debug)]
-pub struct Owed {
+pub struct OpenRequestGuard {
     client: Arc<Client>,
     _unwritten: Unwritten,
 }
 
-impl Drop for Owed {
+impl Drop for OpenRequestGuard {
     fn drop(&mut self) {
-        self.client.open.fetch_sub(1, Relaxed);
-        self.client.touch();
-        let mut book = self.client.table.book();
-        book.requests -= 1;
-        book.of(self.client.address, |a| a.requests -= 1);
+        self.client.open_requests.fetch_sub(1, Relaxed);
+        self.client.record_activity();
+        let mut state = self.client.registry.lock();
+        state.requests -= 1;
+        state.update_usage(self.client.address, |a| a.requests -= 1);
     }
 }
 
+/// The connections and open requests of one address.
 #[derive(Debug, Default)]
-struct OfAddress {
+struct AddressUsage {
     connections: usize,
     requests: usize,
 }
 
+/// The registry state that its lock protects.
 #[derive(Debug, Default)]
-struct Book {
-    next: u64,
+struct RegistryState {
+    next_id: u64,
     clients: BTreeMap<u64, Arc<Client>>,
-    addresses: BTreeMap<IpAddr, OfAddress>,
+    addresses: BTreeMap<IpAddr, AddressUsage>,
     requests: usize,
 }
 
-impl Book {
-    /// An address that has nothing more is forgotten.
-    fn of(&mut self, address: IpAddr, change: impl FnOnce(&mut OfAddress)) {
-        if let Some(of_address) = self.addresses.get_mut(&address) {
-            change(of_address);
-            if of_address.connections == 0 && of_address.requests == 0 {
+impl RegistryState {
+    /// Changes the usage of an address; an entry without connections and requests is removed.
+    fn update_usage(&mut self, address: IpAddr, change: impl FnOnce(&mut AddressUsage)) {
+        if let Some(usage) = self.addresses.get_mut(&address) {
+            change(usage);
+            if usage.connections == 0 && usage.requests == 0 {
                 self.addresses.remove(&address);
             }
         }
     }
 
-    fn remove(&mut self, place: u64) {
-        if let Some(client) = self.clients.remove(&place) {
-            self.of(client.address, |a| a.connections -= 1);
+    fn remove(&mut self, id: u64) {
+        if let Some(client) = self.clients.remove(&id) {
+            self.update_usage(client.address, |a| a.connections -= 1);
         }
     }
 }
 
+/// The registry that all connections share.
 #[derive(Debug)]
-struct Table {
+struct Registry {
     epoch: Instant,
-    most: usize,
-    /// Connections whose threads run, closed ones too.
-    live: AtomicUsize,
-    book: Mutex<Book>,
-    turned_away: AtomicU64,
+    max_connections: usize,
+    /// Connections whose threads still run, including closed ones.
+    live_connections: AtomicUsize,
+    state: Mutex<RegistryState>,
+    rejected_connections: AtomicU64,
 }
 
-impl Table {
-    fn millis(&self, at: Instant) -> u64 {
+impl Registry {
+    fn to_millis(&self, at: Instant) -> u64 {
         at.saturating_duration_since(self.epoch).as_millis() as u64
     }
 
-    fn book(&self) -> MutexGuard<'_, Book> {
-        self.book.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+    fn lock(&self) -> MutexGuard<'_, RegistryState> {
+        self.state.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 }
 
-/// Held as long as a connection's threads run.
+/// Registration of a connection, held as long as its threads run.
 #[derive(Debug)]
 pub struct Admitted {
     pub client: Arc<Client>,
-    place: u64,
+    id: u64,
 }
 
 impl Drop for Admitted {
     fn drop(&mut self) {
-        self.client.shut();
-        self.client.table.live.fetch_sub(1, Relaxed);
-        self.client.table.book().remove(self.place);
+        self.client.shut_down();
+        self.client.registry.live_connections.fetch_sub(1, Relaxed);
+        self.client.registry.lock().remove(self.id);
     }
 }
 
-/// All client connections of the program.
+/// All client connections of the process.
 #[derive(Clone, Debug)]
-pub struct Clients(Arc<Table>);
+pub struct Clients(Arc<Registry>);
 
 impl Clients {
-    pub fn new(most: usize) -> Clients {
-        Clients(Arc::new(Table {
+    /// Creates a registry for at most this many connections.
+    pub fn new(max_connections: usize) -> Clients {
+        Clients(Arc::new(Registry {
             epoch: Instant::now(),
-            most,
-            live: AtomicUsize::new(0),
-            book: Mutex::default(),
-            turned_away: AtomicU64::new(0),
+            max_connections,
+            live_connections: AtomicUsize::new(0),
+            state: Mutex::default(),
+            rejected_connections: AtomicU64::new(0),
         }))
     }
 
-    /// Takes a connection in; `None` where there is no room and none can be made. Closing it costs as little as
-    /// can be: no thread has been started, and nothing is logged for it alone.
+    /// Admits a connection; `None` if the bound is reached and no connection can be evicted. Rejecting one is cheap: no
+    /// thread has been started, and it gets no log line of its own.
     pub fn admit(&self, stream: TcpStream, protocol: Protocol) -> Option<Admitted> {
-        let table = &self.0;
+        let registry = &self.0;
         let address = stream.peer_addr().map_or(IpAddr::V4(Ipv4Addr::UNSPECIFIED), |a| a.ip());
-        let mut book = table.book();
-        let own = book.addresses.get(&address).map_or(0, |a| a.connections);
-        let crowded = own >= table.most.div_ceil(PER_ADDRESS);
-        if crowded || book.clients.len() >= table.most {
-            let room = evict(&mut book, |client| !crowded || client.address == address);
-            if !room {
-                table.turned_away.fetch_add(1, Relaxed);
+        let mut state = registry.lock();
+        let own_connections = state.addresses.get(&address).map_or(0, |a| a.connections);
+        let address_is_full = own_connections >= registry.max_connections.div_ceil(ADDRESS_SHARE_DIVISOR);
+        if address_is_full || state.clients.len() >= registry.max_connections {
+            let evicted = evict(&mut state, |client| !address_is_full || client.address == address);
+            if !evicted {
+                registry.rejected_connections.fetch_add(1, Relaxed);
                 return None;
             }
         }
-        if table.live.load(Relaxed) >= table.most + ENDING {
-            table.turned_away.fetch_add(1, Relaxed);
+        if registry.live_connections.load(Relaxed) >= registry.max_connections + MAX_CLOSING_CONNECTIONS {
+            registry.rejected_connections.fetch_add(1, Relaxed);
             return None;
         }
         let now = Instant::now();
@@ -274,51 +285,54 @@
             stream: Arc::new(stream),
             protocol,
             address,
-            table: table.clone(),
-            heard: AtomicBool::new(false),
-            open: AtomicUsize::new(0),
-            closed: AtomicBool::new(false),
-            idle_since: AtomicU64::new(table.millis(now)),
-            bring_by: AtomicU64::new(table.millis(now + REQUEST)),
-            take_by: AtomicU64::new(0),
+            registry: registry.clone(),
+            has_sent_request: AtomicBool::new(false),
+            open_requests: AtomicUsize::new(0),
+            is_closing: AtomicBool::new(false),
+            idle_since_ms: AtomicU64::new(registry.to_millis(now)),
+            receive_deadline_ms: AtomicU64::new(registry.to_millis(now + REQUEST_TIMEOUT)),
+            write_deadline_ms: AtomicU64::new(0),
         });
-        book.next += 1;
-        let place = book.next;
-        book.clients.insert(place, client.clone());
-        book.addresses.entry(address).or_default().connections += 1;
-        table.live.fetch_add(1, Relaxed);
-        Some(Admitted { client, place })
+        state.next_id += 1;
+        let id = state.next_id;
+        state.clients.insert(id, client.clone());
+        state.addresses.entry(address).or_default().connections += 1;
+        registry.live_connections.fetch_add(1, Relaxed);
+        Some(Admitted { client, id })
     }
 
-    /// Closes what is overdue, for good, and what a drain releases.
-    pub fn watch(&self, counters: &Arc<Counters>) -> io::Result<()> {
-        let (table, counters) = (self.0.clone(), counters.clone());
+    /// Starts the thread that closes connections whose deadline has passed, and those that a drain releases.
+    pub fn start_watch(&self, counters: &Arc<Counters>) -> io::Result<()> {
+        let (registry, counters) = (self.0.clone(), counters.clone());
         let watch = move || loop {
-            std::thread::sleep(LOOK);
+            std::thread::sleep(WATCH_INTERVAL);
             let phase = counters.mode.drain_phase(clock::uptime());
-            let now = table.millis(Instant::now());
-            let past = |due: &AtomicU64| (1..now).contains(&due.load(Relaxed));
-            let idle = now.saturating_sub(IDLE.as_millis() as u64);
-            // Under the lock, so that a request that comes whole in the same instant is either open by now, and the
-            // connection does not rest, or is not taken any more.
-            for client in table.book().clients.values() {
-                let open = client.open.load(Relaxed) > 0;
-                let rests = !open && client.heard.load(Relaxed) && client.idle_since.load(Relaxed) < idle;
-                let released = phase.is_draining() && client.is_released(phase);
-                if released {
+            let now = registry.to_millis(Instant::now());
+            let is_past = |deadline: &AtomicU64| (1..now).contains(&deadline.load(Relaxed));
+            let idle_before = now.saturating_sub(IDLE_TIMEOUT.as_millis() as u64);
+            // Under the lock: a request that completes at the same instant is either open already, so that the
+            // connection is not idle, or is not accepted any more.
+            for client in registry.lock().clients.values() {
+                let has_open_request = client.open_requests.load(Relaxed) > 0;
+                let is_idle = !has_open_request
+                    && client.has_sent_request.load(Relaxed)
+                    && client.idle_since_ms.load(Relaxed) < idle_before;
+                let is_released = phase.is_draining() && client.is_released(phase);
+                if is_released {
                     counters.drain_closed.fetch_add(1, Relaxed);
                 }
-                if released
-                    || past(&client.take_by)
-                    || (!open && (past(&client.bring_by) || (rests && !client.has_unread())))
+                if is_released
+                    || is_past(&client.write_deadline_ms)
+                    || (!has_open_request
+                        && (is_past(&client.receive_deadline_ms) || (is_idle && !client.has_unread_bytes())))
                 {
-                    client.closed.store(true, Relaxed);
-                    client.shut();
+                    client.is_closing.store(true, Relaxed);
+                    client.shut_down();
                 }
             }
-            let away = table.turned_away.swap(0, Relaxed);
-            if away > 0 {
-                eprintln!("accept: no room, {away} client connections were turned away");
+            let rejected = registry.rejected_connections.swap(0, Relaxed);
+            if rejected > 0 {
+                eprintln!("accept: no room, {rejected} client connections were turned away");
             }
         };
         spawn_at_start("client-watch", watch).map(drop)
@@ -326,27 +340,27 @@
 }
 
 impl Client {
+    /// The socket of the connection.
     pub fn stream(&self) -> &Arc<TcpStream> {
         &self.stream
     }
 }
 
-/// Closes the connection that can best be done without: none that is owed an answer, and none with bytes that
-/// have not been looked at; first those that have brought nothing that could be used, then those idle for
-/// longest. A client sends again what crosses the close.
-fn evict(book: &mut Book, may: impl Fn(&Client) -> bool) -> bool {
-    let idle = book.clients.iter().filter(|(_, c)| c.open.load(Relaxed) == 0 && may(c));
+/// Closes the least valuable connection: never one that is owed an answer or has unread bytes; first those that have
+/// not sent a valid request, then those idle for longest. A client sends again whatever arrives during the close.
+fn evict(state: &mut RegistryState, is_eligible: impl Fn(&Client) -> bool) -> bool {
+    let idle = state.clients.iter().filter(|(_, c)| c.open_requests.load(Relaxed) == 0 && is_eligible(c));
     let mut order: Vec<(bool, u64, u64)> =
-        idle.map(|(place, c)| (c.heard.load(Relaxed), c.idle_since.load(Relaxed), *place)).collect();
+        idle.map(|(id, c)| (c.has_sent_request.load(Relaxed), c.idle_since_ms.load(Relaxed), *id)).collect();
     order.sort_unstable();
-    let unread = |place: &u64| book.clients.get(place).is_some_and(|c| c.has_unread());
-    let Some(place) = order.into_iter().map(|(_, _, place)| place).find(|place| !unread(place)) else {
+    let has_unread = |id: &u64| state.clients.get(id).is_some_and(|c| c.has_unread_bytes());
+    let Some(id) = order.into_iter().map(|(_, _, id)| id).find(|id| !has_unread(id)) else {
         return false;
     };
-    if let Some(client) = book.clients.get(&place) {
-        client.closed.store(true, Relaxed);
-        client.shut();
+    if let Some(client) = state.clients.get(&id) {
+        client.is_closing.store(true, Relaxed);
+        client.shut_down();
     }
-    book.remove(place);
+    state.remove(id);
     true
 }
--- a/front/src/server/dns.rs
+++ b/front/src/server/dns.rs
@@ -1,5 +1,5 @@
-//! The authoritative name server's sockets. What is answered is decided in `elmtide_dns`; it names addresses of ours and no
-//! others.
+//! The sockets of the authoritative name server. The answers are decided in `elmtide_dns`; they name addresses of this
+//! fleet only.
 
 mod datagrams;
 mod streams;
@@ -22,30 +22,30 @@
 use crate::process::start_gate::StartGate;
 use crate::process::{clock, spawn};
 
-/// So often a waiting thread looks whether it is to stop, and a connection whether its time is up.
+/// The interval at which blocked threads check whether to stop, and connections are checked for timeouts.
 const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A moment of this process's time line by both clocks that a name server needs.
-fn at(steady: Ms) -> Now {
+/// A moment by both clocks that a name server needs.
+fn both_clocks(steady: Ms) -> Now {
     Now { steady, unix_s: clock::wall_s() }
 }
 
-/// What the name servers of a process share.
-pub struct Shared {
+/// State that all name server threads of the process share.
+pub struct DnsContext {
     pub counts: Arc<Counts>,
-    /// What becomes of datagrams on the way to and from the name servers.
+    /// Counters of datagrams received, sent and dropped.
     pub datagrams: Arc<DatagramCounters>,
     pub log: Log,
     pub seed: u64,
 }
 
-impl Shared {
+impl DnsContext {
     fn server(&self, limits: Limits) -> Server {
         Server::new(Limiter::new(limits, self.seed), self.counts.clone())
     }
 }
 
-/// The sockets of one address, bound and not yet served.
+/// The bound sockets of one address, not served yet.
 pub struct DnsSockets {
     udp: DatagramListener,
     tcp: TcpListener,
@@ -53,31 +53,36 @@
 }
 
 impl DnsSockets {
-    /// Both on one port; with port 0 any that both can have.
+    /// Binds UDP and TCP to the same port; with port 0, to any port that is free for both.
     pub fn bind(at: SocketAddr, threads: usize) -> io::Result<DnsSockets> {
-        let mut left = 8;
+        let mut retries_left = 8;
         loop {
             let tcp = TcpListener::bind(at)?;
             match DatagramListener::bind(tcp.local_addr()?) {
                 Ok(udp) => return Ok(DnsSockets { udp, tcp, threads }),
-                Err(why) if at.port() != 0 || left == 0 => return Err(why),
-                Err(_) => left -= 1,
+                Err(error) if at.port() != 0 || retries_left == 0 => return Err(error),
+                Err(_) => retries_left -= 1,
             }
         }
     }
 
-    pub fn at(&self) -> io::Result<SocketAddr> {
+    /// The address that both sockets are bound to.
+    ///
+    /// # Errors
+    /// As the system call.
+    pub fn local_addr(&self) -> io::Result<SocketAddr> {
         self.tcp.local_addr()
     }
 
-    /// Serves on threads of their own from the moment in which the gate opens; until then, what comes waits in the sockets.
+    /// Starts the threads that serve the sockets once the gate opens; until then, datagrams and connections wait in the
+    /// sockets.
     ///
     /// # Errors
-    /// If a thread can't be started. Those that run already end once the gate is open and `stop` is set.
+    /// If a thread cannot be started. Threads that run already end once the gate is open and `stop` is set.
     pub fn start(
         self,
         in_force: &Arc<InForce>,
-        shared: &Arc<Shared>,
+        shared: &Arc<DnsContext>,
         stop: &Arc<AtomicBool>,
         gate: &StartGate,
     ) -> io::Result<()> {
--- a/front/src/server/dns/datagrams.rs
+++ b/front/src/server/dns/datagrams.rs
@@ -1,4 +1,5 @@
-//! The name server over UDP: threads for the socket that all senders share, and one for the queues of isolated senders.
+//! The name server over UDP: threads for the socket that all senders share, and one thread for the queues of isolated
+//! senders.
 
 use std::io::{self, ErrorKind};
 use std::net::{SocketAddr, UdpSocket};
@@ -9,22 +10,22 @@
 use elmtide::Ms;
 use elmtide_dns::answer::{Client, Reaction, Server, Transport};
 
-use super::{at, Shared, STOP_CHECK_INTERVAL};
+use super::{both_clocks, DnsContext, STOP_CHECK_INTERVAL};
 use crate::edge::in_force::{InForce, Reader};
 use crate::process::datagram_listener::{DatagramListener, IsolatedSenders, Isolation, ReleaseTimer};
 use crate::process::start_gate::StartGate;
 use crate::process::{clock, spawn};
 
-/// Longer than any query.
+/// Longer than any query that is accepted.
 const QUERY_BYTES: usize = 4096;
 const ANSWER_BYTES: usize = 4096;
 
-/// Serves one address with so many threads for the shared socket.
+/// Starts the threads of one address: `threads` for the shared socket, one for the isolated senders.
 pub(super) fn start(
     listener: DatagramListener,
     threads: usize,
     in_force: &Arc<InForce>,
-    shared: &Arc<Shared>,
+    shared: &Arc<DnsContext>,
     stop: &Arc<AtomicBool>,
     gate: &StartGate,
 ) -> io::Result<()> {
@@ -55,7 +56,7 @@
     while !stop.load(Relaxed) {
         let (length, from) = match socket.recv_from(&mut bytes) {
             Ok(received) => received,
-            // A time-out is the moment to look at `stop`; any other error is one client's, or a shortage that passes.
+            // After a timeout `stop` is checked. Any other error concerns a single client, or is a temporary shortage.
             Err(error) => {
                 responder.count_failed_receive(&error);
                 continue;
@@ -67,7 +68,7 @@
         let isolated = isolation.observe(from, now);
         if isolated > 0 {
             counters.isolations.fetch_add(isolated as u64, Relaxed);
-            responder.shared.log.say(|| format!("dns: {from} floods: it has a queue of its own now"));
+            responder.shared.log.say(|| format!("dns: {from} is flooding: moved to its own queue"));
         }
         responder.respond(socket, &bytes[..length], from, now);
     }
@@ -89,21 +90,22 @@
     }
 }
 
-/// Answers queries, with limits of its own thread.
+/// Answers queries; each thread applies its own limits.
 struct Responder {
     reader: Reader,
     server: Server,
-    shared: Arc<Shared>,
+    shared: Arc<DnsContext>,
     answer: Vec<u8>,
 }
 
 impl Responder {
-    fn new(in_force: &Arc<InForce>, shared: &Arc<Shared>) -> Responder {
+    fn new(in_force: &Arc<InForce>, shared: &Arc<DnsContext>) -> Responder {
         let mut reader = in_force.reader();
         let server = shared.server(reader.load().limits);
         Responder { reader, server, shared: shared.clone(), answer: Vec::with_capacity(ANSWER_BYTES) }
     }
 
+    /// Answers one query.
     fn respond(&mut self, socket: &UdpSocket, query: &[u8], from: SocketAddr, now: Ms) {
         let state = self.reader.load();
         let Some(served) = &state.served else { return };
@@ -112,10 +114,10 @@
         }
         let client = Client { address: from.ip(), transport: Transport::Udp };
         let (server, out) = (&mut self.server, &mut self.answer);
-        match catch_unwind(AssertUnwindSafe(|| server.answer(served, client, at(now), query, out))) {
+        match catch_unwind(AssertUnwindSafe(|| server.answer(served, client, both_clocks(now), query, out))) {
             Ok(Reaction::Reply) => self.send(socket, from),
             Ok(Reaction::Silence | Reaction::Transfer(_)) => {}
-            Err(_) => self.shared.log.say(|| format!("dns: a query of {from} ended in a panic")),
+            Err(_) => self.shared.log.say(|| format!("dns: panic while answering a query from {from}")),
         }
     }
 
@@ -134,7 +136,8 @@
         }
     }
 
-    /// Logs what the system has dropped since the last call where it may have been anybody's.
+    /// Logs the number of datagrams that the system has dropped since the last call, where any sender may have been
+    /// affected.
     fn report_drops(&self) {
         let dropped = self.shared.datagrams.refresh_drops();
         if dropped > 0 {
--- a/front/src/server/dns/streams.rs
+++ b/front/src/server/dns/streams.rs
@@ -1,4 +1,4 @@
-//! The name server's TCP connections: one thread serves all of one address.
+//! The name server over TCP: one thread serves all connections of one address.
 
 use std::collections::HashMap;
 use std::io::{self, ErrorKind, Read, Write};
@@ -13,25 +13,26 @@
 use rustix::buffer::spare_capacity;
 use rustix::event::epoll::{self, EventData, EventFlags};
 
-use super::{at, Shared, STOP_CHECK_INTERVAL};
+use super::{both_clocks, DnsContext, STOP_CHECK_INTERVAL};
 use crate::edge::in_force::InForce;
 use crate::process::clock;
 use crate::server::acceptor::Acceptor;
 
-const LISTENER: u64 = 0;
-const FIRST: u64 = 1;
-const ACCEPT: usize = 64;
+const LISTENER_TOKEN: u64 = 0;
+const FIRST_CONNECTION_TOKEN: u64 = 1;
+/// Connections accepted in one turn of the loop.
+const MAX_ACCEPTS_PER_TURN: usize = 64;
 
 /// All TCP connections of one address.
 pub(super) struct Streams {
     epoll: OwnedFd,
     acceptor: Acceptor,
     in_force: Arc<InForce>,
-    shared: Arc<Shared>,
+    shared: Arc<DnsContext>,
     server: Server,
     table: Table,
     streams: HashMap<u64, (TcpStream, EventFlags)>,
-    next: u64,
+    next_token: u64,
     scratch: Vec<u8>,
 }
 
@@ -39,16 +40,27 @@
     pub(super) fn new(
         listener: TcpListener,
         in_force: Arc<InForce>,
-        shared: Arc<Shared>,
+        shared: Arc<DnsContext>,
     ) -> io::Result<Streams> {
         let epoll = epoll::create(epoll::CreateFlags::CLOEXEC)?;
-        let acceptor = Acceptor::register(&epoll, listener, LISTENER)?;
+        let acceptor = Acceptor::register(&epoll, listener, LISTENER_TOKEN)?;
         let state = in_force.now();
         let (server, table) = (shared.server(state.limits), Table::new(state.tcp));
         let (streams, scratch) = (HashMap::new(), Vec::with_capacity(4096));
-        Ok(Streams { epoll, acceptor, in_force, shared, server, table, streams, next: FIRST, scratch })
+        Ok(Streams {
+            epoll,
+            acceptor,
+            in_force,
+            shared,
+            server,
+            table,
+            streams,
+            next_token: FIRST_CONNECTION_TOKEN,
+            scratch,
+        })
     }
 
+    /// Serves until `stop` is set.
     pub(super) fn run(mut self, stop: &AtomicBool) {
         let mut events: Vec<epoll::Event> = Vec::with_capacity(256);
         let mut buffer = vec![0; 16 * 1024];
@@ -56,20 +68,20 @@
         while !stop.load(Relaxed) {
             events.clear();
             self.acceptor.resume(&self.epoll);
-            let timeout = self.acceptor.wait_at_most(STOP_CHECK_INTERVAL);
-            let waited = epoll::wait(&self.epoll, spare_capacity(&mut events), Some(&timeout));
+            let timeout = self.acceptor.poll_timeout(STOP_CHECK_INTERVAL);
+            let polled = epoll::wait(&self.epoll, spare_capacity(&mut events), Some(&timeout));
             let now = clock::steady_ms();
             let wanted = self.in_force.now().tcp;
             if wanted != limits {
-                // Other limits are for new connections; those that are there end by the old ones.
+                // Changed limits apply to new connections; open ones keep theirs.
                 limits = wanted;
                 self.table.set_limits(limits);
             }
-            if waited.is_ok() {
+            if polled.is_ok() {
                 for event in &events {
                     match event.data.u64() {
-                        LISTENER => self.accept(now),
-                        id => self.turn(id, event.flags, &mut buffer, now),
+                        LISTENER_TOKEN => self.accept(now),
+                        id => self.advance(id, event.flags, &mut buffer, now),
                     }
                 }
             }
@@ -85,7 +97,7 @@
     }
 
     fn accept(&mut self, now: f64) {
-        for _ in 0..ACCEPT {
+        for _ in 0..MAX_ACCEPTS_PER_TURN {
             let (stream, from) = match self.acceptor.accept(&self.epoll) {
                 Ok(Some(accepted)) => accepted,
                 Ok(None) => return,
@@ -94,11 +106,11 @@
                     return;
                 }
             };
-            let id = self.next;
-            self.next += 1;
+            let id = self.next_token;
+            self.next_token += 1;
             match self.table.admit(id, from.ip(), now) {
                 Admitted::Yes => {}
-                Admitted::Instead(other) => drop(self.streams.remove(&other)),
+                Admitted::Instead(evicted) => drop(self.streams.remove(&evicted)),
                 Admitted::No => continue,
             }
             let ready = stream.set_nonblocking(true).and_then(|()| {
@@ -115,20 +127,20 @@
         }
     }
 
-    /// Lets a connection do what it can. An end, and a panic, is its own and nobody else's.
-    fn turn(&mut self, id: u64, flags: EventFlags, buffer: &mut [u8], now: f64) {
-        let acted = catch_unwind(AssertUnwindSafe(|| self.act(id, flags, buffer, now)));
-        match acted {
+    /// Advances one connection. An error or a panic ends this connection only.
+    fn advance(&mut self, id: u64, flags: EventFlags, buffer: &mut [u8], now: f64) {
+        let result = catch_unwind(AssertUnwindSafe(|| self.serve_connection(id, flags, buffer, now)));
+        match result {
             Ok(Some(Next::Goes)) => {}
             Ok(Some(Next::Close) | None) => self.end(id),
             Err(_) => {
-                self.shared.log.say(|| "dns: a connection ended in a panic".into());
+                self.shared.log.say(|| "dns: panic while serving a TCP connection".into());
                 self.end(id);
             }
         }
     }
 
-    fn act(&mut self, id: u64, flags: EventFlags, buffer: &mut [u8], now: f64) -> Option<Next> {
+    fn serve_connection(&mut self, id: u64, flags: EventFlags, buffer: &mut [u8], now: f64) -> Option<Next> {
         let (stream, interest) = self.streams.get_mut(&id)?;
         let connection = self.table.get(id)?;
         if flags.intersects(EventFlags::ERR) {
@@ -146,17 +158,17 @@
         let served = state.served.as_ref()?;
         let server = &mut self.server;
         loop {
-            let both = at(now);
+            let time = both_clocks(now);
             let answer =
-                |message: &[u8], out: &mut Vec<u8>| server.answer(served, client, both, message, out);
-            let next = connection.serve(&mut self.scratch, both, answer);
-            let mut wrote = 0;
+                |message: &[u8], out: &mut Vec<u8>| server.answer(served, client, time, message, out);
+            let next = connection.serve(&mut self.scratch, time, answer);
+            let mut written = 0;
             while !connection.pending().is_empty() {
                 match stream.write(connection.pending()) {
                     Ok(0) => return None,
                     Ok(some) => {
                         connection.wrote(some, now);
-                        wrote += some;
+                        written += some;
                     }
                     Err(why) if why.kind() == ErrorKind::Interrupted => {}
                     Err(why) if why.kind() == ErrorKind::WouldBlock => break,
@@ -166,8 +178,8 @@
             if next == Next::Close {
                 return None;
             }
-            // What was written made room: a transfer, or more questions, may go on.
-            if wrote == 0 || !connection.pending().is_empty() {
+            // Writing freed buffer space: a transfer or further queries may continue.
+            if written == 0 || !connection.pending().is_empty() {
                 break;
             }
         }
--- a/front/src/server/drain_report.rs
+++ b/front/src/server/drain_report.rs
@@ -1,8 +1,8 @@
-//! What the log tells of a drain: each phase as it begins, with what is still held, and the end.
+//! Logs the progress of a drain: each phase as it begins, with what is still held, and the completion.
 
 use elmtide_drain::DrainPhase;
 
-/// Follows one drain after the other, and logs each change once.
+/// Tracks successive drains and logs each change once.
 #[derive(Debug)]
 pub struct DrainReport {
     phase: DrainPhase,
@@ -25,24 +25,26 @@
 }
 
 impl DrainReport {
-    /// Takes in the phase now and the connections that are held: for each its open requests, and whether it owes an answer.
+    /// Compares the current phase and connections with the last ones. Each connection is given as its number of open
+    /// requests and whether it owes an answer.
     pub fn observe(&mut self, phase: DrainPhase, held: impl Iterator<Item = (usize, bool)>) {
         let changed = phase != self.phase;
         if !changed && (!phase.is_draining() || self.is_complete) {
             return;
         }
-        let held = held.fold(HeldConnections::default(), |sum, (open_requests, owes)| HeldConnections {
-            connections: sum.connections + 1,
-            owing_answers: sum.owing_answers + usize::from(owes),
-            open_requests: sum.open_requests + open_requests,
-        });
+        let held =
+            held.fold(HeldConnections::default(), |sum, (open_requests, owes_answer)| HeldConnections {
+                connections: sum.connections + 1,
+                owing_answers: sum.owing_answers + usize::from(owes_answer),
+                open_requests: sum.open_requests + open_requests,
+            });
         if changed {
             self.enter(phase, held);
         }
         let was_complete =
             std::mem::replace(&mut self.is_complete, phase.is_draining() && held.connections == 0);
         if self.is_complete && !was_complete {
-            tracing::info!(phase = phase.name(), "drain: no client connection is held");
+            tracing::info!(phase = phase.name(), "drain: no client connections are left");
         }
     }
 
--- a/front/src/server/fastcgi.rs
+++ b/front/src/server/fastcgi.rs
@@ -1,5 +1,5 @@
-//! The platform's front: the FastCGI 1.0 that a web server speaks on one connection, many requests open at a
-//! time. Bytes go in, chunks of answers come out; `sockets` moves both.
+//! The FastCGI 1.0 side of the front, as a web server speaks it: one connection carries many open requests at a time.
+//! Received bytes go in, chunks of answers come out; `sockets` moves both.
 
 use std::collections::{HashMap, VecDeque};
 use std::fmt;
@@ -14,181 +14,197 @@
 use crate::memory::budget::Held;
 use crate::memory::mode::Mode;
 use crate::process::clock;
-use crate::server::clients::{Client, NotTaken, Owed};
+use crate::server::clients::{Client, OpenError, OpenRequestGuard};
 use crate::server::mailbox::{Delivery, Mailbox};
-use crate::server::{Fields, Intake};
+use crate::server::{Intake, RequestFields};
 use crate::wire::fastcgi::{self, Malformed, Pairs, ProtocolStatus, Record};
 
-/// Requests open on one connection: web servers keep to 32, more are turned away.
-const OPEN: usize = 32;
-const LONGEST_PARAMS: usize = 16 * 1024;
-const LONGEST_BODY: usize = 64 * 1024;
-/// So many requests in a row that can't be used end a connection: what is the same again costs no more.
-const UNUSABLE: u32 = 16;
-const HEALTH: &[u8] = b"/-/healthy";
-const API: &str = "/api/v2/";
+/// The maximum number of open requests on one connection. Web servers keep to 32; more are rejected.
+const MAX_REQUESTS_PER_CONNECTION: usize = 32;
+/// Bounds of the parameters and of the body of one request.
+const MAX_PARAMS_BYTES: usize = 16 * 1024;
+const MAX_BODY_BYTES: usize = 64 * 1024;
+/// This many consecutive invalid requests end a connection, so that a client that repeats them costs nothing more.
+const MAX_CONSECUTIVE_INVALID: u32 = 16;
+const HEALTH_PATH: &[u8] = b"/-/healthy";
+const API_PREFIX: &str = "/api/v2/";
 
-/// Bytes that go out together.
+/// Bytes that are written together.
 #[derive(Debug)]
 pub struct Chunk {
     pub bytes: Vec<u8>,
-    /// The connection closes after them.
+    /// The connection closes after these bytes.
     pub last: bool,
-    _owed: Option<Owed>,
+    _open_guard: Option<OpenRequestGuard>,
 }
 
-/// A request that has not come whole.
+/// A request that has been received in part.
 #[derive(Debug)]
-struct Half {
-    began: Instant,
+struct PartialRequest {
+    started_at: Instant,
     params: Vec<u8>,
     params_done: bool,
     body: Vec<u8>,
     held: Held,
-    keep: bool,
+    keep_connection: bool,
 }
 
-/// A request handed in and not answered yet, and whether the connection closes after the answer.
+/// A request that has been submitted and not answered yet, and whether the connection stays open after the answer.
 #[derive(Debug)]
-struct Open {
+struct OpenRequest {
     request: RequestId,
     serial: u64,
-    keep: bool,
-    owed: Owed,
+    keep_connection: bool,
+    open_guard: OpenRequestGuard,
 }
 
+/// Why a connection cannot go on.
 #[derive(Debug)]
-pub enum Broken {
-    Record(Malformed),
-    TooLong,
-    Reused(u16),
-    Unusable,
-    /// By us, in the moment in which a request came whole.
+pub enum ConnectionError {
+    Malformed(Malformed),
+    ParamsTooLong,
+    ReusedRequestId(u16),
+    TooManyInvalid,
+    /// This side closed the connection at the moment at which a request became complete.
     Closed,
 }
 
-impl fmt::Display for Broken {
+impl fmt::Display for ConnectionError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Broken::Record(why) => write!(f, "a record that can't be read ({why:?})"),
-            Broken::TooLong => write!(f, "a request that is too long"),
-            Broken::Reused(id) => write!(f, "request id {id}, begun while it was open"),
-            Broken::Unusable => write!(f, "{UNUSABLE} requests in a row that can't be used"),
-            Broken::Closed => write!(f, "a request that crossed its close"),
+            ConnectionError::Malformed(error) => write!(f, "a record that can't be read ({error:?})"),
+            ConnectionError::ParamsTooLong => write!(f, "a request that is too long"),
+            ConnectionError::ReusedRequestId(id) => write!(f, "request id {id}, reused while it was open"),
+            ConnectionError::TooManyInvalid => {
+                write!(f, "{MAX_CONSECUTIVE_INVALID} consecutive invalid requests")
+            }
+            ConnectionError::Closed => write!(f, "a request that arrived while its connection was closing"),
         }
     }
 }
 
-impl From<Malformed> for Broken {
-    fn from(why: Malformed) -> Broken {
-        Broken::Record(why)
+impl From<Malformed> for ConnectionError {
+    fn from(error: Malformed) -> ConnectionError {
+        ConnectionError::Malformed(error)
     }
 }
 
-/// One connection's side of the protocol.
-pub struct Conversation {
+/// The protocol state of one connection.
+pub struct FastCgiSession {
     connection: u64,
     client: Arc<Client>,
     intake: Arc<Intake>,
     mailbox: Mailbox,
-    /// The beginning of a record.
+    /// The received part of an incomplete record.
     input: Vec<u8>,
-    begun: Option<Instant>,
-    half: HashMap<u16, Half>,
-    open: HashMap<u16, Open>,
-    serials: u64,
-    /// Requests in a row that could not be used.
-    unusable: u32,
-    /// A whole request has come.
-    brought: bool,
-    /// What is to be written.
-    pub out: VecDeque<Chunk>,
+    partial_record_since: Option<Instant>,
+    partial_requests: HashMap<u16, PartialRequest>,
+    open_requests: HashMap<u16, OpenRequest>,
+    last_serial: u64,
+    /// Consecutive invalid requests so far.
+    consecutive_invalid: u32,
+    /// A complete request has been received.
+    has_received_request: bool,
+    /// The chunks to be written.
+    pub output: VecDeque<Chunk>,
 }
 
-impl Drop for Conversation {
-    /// The client has left: nothing more is to be done for it.
+impl Drop for FastCgiSession {
+    /// The client has disconnected: its open requests are abandoned.
     fn drop(&mut self) {
-        for (_, open) in self.open.drain() {
+        for (_, open) in self.open_requests.drain() {
             let _ = self.intake.inputs.send(Input::Abandoned(open.request));
         }
     }
 }
 
-impl Conversation {
-    pub fn new(connection: u64, client: Arc<Client>, intake: Arc<Intake>, mailbox: Mailbox) -> Conversation {
-        Conversation {
+impl FastCgiSession {
+    /// Creates the state of a new connection.
+    pub fn new(
+        connection: u64,
+        client: Arc<Client>,
+        intake: Arc<Intake>,
+        mailbox: Mailbox,
+    ) -> FastCgiSession {
+        FastCgiSession {
             connection,
             client,
             intake,
             mailbox,
             input: Vec::new(),
-            begun: None,
-            half: HashMap::new(),
-            open: HashMap::new(),
-            serials: 0,
-            unusable: 0,
-            brought: false,
-            out: VecDeque::new(),
+            partial_record_since: None,
+            partial_requests: HashMap::new(),
+            open_requests: HashMap::new(),
+            last_serial: 0,
+            consecutive_invalid: 0,
+            has_received_request: false,
+            output: VecDeque::new(),
         }
     }
 
-    /// Takes in what has come.
-    pub fn take(&mut self, bytes: &[u8]) -> Result<(), Broken> {
+    /// Processes received bytes.
+    pub fn receive(&mut self, bytes: &[u8]) -> Result<(), ConnectionError> {
         let mut input = std::mem::take(&mut self.input);
         input.extend_from_slice(bytes);
-        let mut at = 0;
-        while let Some((record, used)) = fastcgi::record(&input[at..])? {
-            self.record(&record)?;
-            at += used;
+        let mut position = 0;
+        while let Some((record, used)) = fastcgi::parse_record(&input[position..])? {
+            self.handle_record(&record)?;
+            position += used;
         }
-        // A part of a record belongs to what came last; whatever is not whole has its time.
-        self.begun = match at < input.len() {
-            true if at == 0 => self.begun.or_else(|| Some(Instant::now())),
+        // The deadline of a partial record counts from the call that brought its first bytes.
+        self.partial_record_since = match position < input.len() {
+            true if position == 0 => self.partial_record_since.or_else(|| Some(Instant::now())),
             true => Some(Instant::now()),
             false => None,
         };
-        // An idle connection holds no memory for what it may bring.
-        self.input = input.split_off(at);
-        self.client.brings(self.half.values().map(|h| h.began).chain(self.begun).min());
+        // An idle connection keeps no buffer allocated.
+        self.input = input.split_off(position);
+        self.client.set_receive_start(
+            self.partial_requests.values().map(|p| p.started_at).chain(self.partial_record_since).min(),
+        );
         Ok(())
     }
 
-    /// Takes nothing in any more: what has come in part is dropped.
-    pub fn stop_taking(&mut self) {
-        self.half.clear();
-        (self.input, self.begun) = (Vec::new(), None);
-        self.client.brings(None);
+    /// Stops processing input and discards what has been received in part.
+    pub fn stop_receiving(&mut self) {
+        self.partial_requests.clear();
+        (self.input, self.partial_record_since) = (Vec::new(), None);
+        self.client.set_receive_start(None);
     }
 
-    /// A request is open, or something said is not written yet.
-    pub fn owes(&self) -> bool {
-        !self.open.is_empty() || !self.out.is_empty()
+    /// Whether a request is open or output is still to be written.
+    pub fn owes_answer(&self) -> bool {
+        !self.open_requests.is_empty() || !self.output.is_empty()
     }
 
-    /// Writes the final answer to a request, unless that was given up meanwhile.
-    pub fn answer(&mut self, delivery: &Delivery) {
-        if self.open.get(&delivery.slot).is_none_or(|o| o.serial != delivery.serial) {
+    /// Queues the final answer to a request, unless the request was abandoned meanwhile.
+    pub fn queue_answer(&mut self, delivery: &Delivery) {
+        if self.open_requests.get(&delivery.fcgi_id).is_none_or(|o| o.serial != delivery.serial) {
             return;
         }
-        if let Some(open) = self.open.remove(&delivery.slot) {
-            let chunk = Chunk { bytes: answer(delivery), last: !open.keep, _owed: Some(open.owed) };
+        if let Some(open) = self.open_requests.remove(&delivery.fcgi_id) {
+            let chunk = Chunk {
+                bytes: encode_answer(delivery),
+                last: !open.keep_connection,
+                _open_guard: Some(open.open_guard),
+            };
             match delivery.answer {
-                Answer::Refused { .. } if open.keep => self.send_ahead(chunk),
-                _ => self.out.push_back(chunk),
+                Answer::Refused { .. } if open.keep_connection => self.queue_ahead(chunk),
+                _ => self.output.push_back(chunk),
             }
         }
     }
 
-    /// What the connection is doing, as far as it decides on its end in a drain.
+    /// The activity of the connection, as far as a drain decides by it.
     pub fn activity(&self) -> ConnectionActivity {
         ConnectionActivity {
-            owes_answer: self.owes(),
-            partial_requests: self.half.len(),
+            owes_answer: self.owes_answer(),
+            partial_requests: self.partial_requests.len(),
             has_partial_input: !self.input.is_empty(),
-            // A system call, and of no account while an answer is owed.
-            has_unread_input: !self.owes() && self.client.has_unread(),
-            // When the process is about to end, connections are closed whatever they have brought so far.
-            has_brought_request: self.brought || self.mode().is_finishing(),
+            // This costs a system call and does not matter while an answer is owed.
+            has_unread_input: !self.owes_answer() && self.client.has_unread_bytes(),
+            // Just before the process exits, connections are closed whether or not they have sent a request.
+            has_brought_request: self.has_received_request || self.mode().is_finishing(),
         }
     }
 
@@ -197,207 +213,237 @@
         &self.intake.counters.mode
     }
 
-    /// Requests that are open on the connection.
-    pub fn open_requests(&self) -> usize {
-        self.open.len()
+    /// The number of open requests on the connection.
+    pub fn open_request_count(&self) -> usize {
+        self.open_requests.len()
     }
 
-    /// Rejects every request of which a part has come; the rest of it is dropped unseen.
+    /// Rejects every partially received request; the remaining input of such a request is discarded.
     pub fn reject_partial_requests(&mut self) {
-        let partial = std::mem::take(&mut self.half);
+        let partial = std::mem::take(&mut self.partial_requests);
         self.intake.counters.drain_partial_rejected.fetch_add(partial.len() as u64, Relaxed);
-        for (id, half) in partial {
-            self.end(half.keep, |out| fastcgi::end_request(out, id, 0, ProtocolStatus::Overloaded));
+        for (id, partial) in partial {
+            self.queue_end(partial.keep_connection, |output| {
+                fastcgi::write_end_request(output, id, 0, ProtocolStatus::Overloaded)
+            });
         }
-        self.client.brings(self.begun);
+        self.client.set_receive_start(self.partial_record_since);
     }
 
-    /// Puts an answer ahead of those that have not begun to be written: a client that takes large answers in slowly is told of
-    /// a rejection at once all the same.
-    fn send_ahead(&mut self, chunk: Chunk) {
-        let after_the_begun_one = self.out.len().min(1);
-        self.out.insert(after_the_begun_one, chunk);
+    /// Queues an answer ahead of those whose write has not begun, so that a client that reads large answers slowly
+    /// still learns of a rejection at once.
+    fn queue_ahead(&mut self, chunk: Chunk) {
+        let after_started = self.output.len().min(1);
+        self.output.insert(after_started, chunk);
     }
 
-    fn say(&mut self, put: impl FnOnce(&mut Vec<u8>)) {
-        self.end(true, put);
+    /// Queues a management response that ends no request.
+    fn queue_response(&mut self, encode: impl FnOnce(&mut Vec<u8>)) {
+        self.queue_end(true, encode);
     }
 
-    /// Ends a request that is no exchange; without KEEP_CONN the connection ends with it.
-    fn end(&mut self, keep: bool, put: impl FnOnce(&mut Vec<u8>)) {
+    /// Queues a response that ends a request without the engine; without KEEP_CONN the connection ends with it.
+    fn queue_end(&mut self, keep_connection: bool, encode: impl FnOnce(&mut Vec<u8>)) {
         let mut bytes = Vec::new();
-        put(&mut bytes);
-        self.out.push_back(Chunk { bytes, last: !keep, _owed: None });
+        encode(&mut bytes);
+        self.output.push_back(Chunk { bytes, last: !keep_connection, _open_guard: None });
     }
 
-    fn record(&mut self, record: &Record<'_>) -> Result<(), Broken> {
+    /// Handles one record.
+    fn handle_record(&mut self, record: &Record<'_>) -> Result<(), ConnectionError> {
         let id = record.id;
         match record.kind {
             fastcgi::GET_VALUES if id == 0 => {
-                let known = [("FCGI_MAX_CONNS", "341"), ("FCGI_MAX_REQS", "1024"), ("FCGI_MPXS_CONNS", "1")];
-                self.say(|out| fastcgi::values(out, record.content, &known));
+                let known_values =
+                    [("FCGI_MAX_CONNS", "341"), ("FCGI_MAX_REQS", "1024"), ("FCGI_MPXS_CONNS", "1")];
+                self.queue_response(|output| fastcgi::write_values(output, record.content, &known_values));
             }
-            fastcgi::BEGIN_REQUEST => return self.begin(id, record.content),
-            fastcgi::ABORT_REQUEST => self.abort(id),
-            fastcgi::PARAMS | fastcgi::STDIN => return self.content(record),
+            fastcgi::BEGIN_REQUEST => return self.handle_begin(id, record.content),
+            fastcgi::ABORT_REQUEST => self.handle_abort(id),
+            fastcgi::PARAMS | fastcgi::STDIN => return self.handle_content(record),
             fastcgi::DATA => {}
-            kind if id == 0 => self.say(|out| fastcgi::unknown_type(out, kind)),
+            kind if id == 0 => self.queue_response(|output| fastcgi::write_unknown_type(output, kind)),
             _ => {}
         }
         Ok(())
     }
 
-    fn begin(&mut self, id: u16, content: &[u8]) -> Result<(), Broken> {
-        let (role, flags) = fastcgi::begin_request(content)?;
-        if id == 0 || self.half.contains_key(&id) || self.open.contains_key(&id) {
-            return Err(Broken::Reused(id));
+    fn handle_begin(&mut self, id: u16, content: &[u8]) -> Result<(), ConnectionError> {
+        let (role, flags) = fastcgi::parse_begin_request(content)?;
+        if id == 0 || self.partial_requests.contains_key(&id) || self.open_requests.contains_key(&id) {
+            return Err(ConnectionError::ReusedRequestId(id));
         }
         if role != fastcgi::RESPONDER {
-            let keep = flags & fastcgi::KEEP_CONN != 0;
-            self.end(keep, |out| fastcgi::end_request(out, id, 0, ProtocolStatus::UnknownRole));
+            let keep_connection = flags & fastcgi::KEEP_CONN != 0;
+            self.queue_end(keep_connection, |output| {
+                fastcgi::write_end_request(output, id, 0, ProtocolStatus::UnknownRole)
+            });
             return Ok(());
         }
-        if self.half.len() + self.open.len() >= OPEN {
+        if self.partial_requests.len() + self.open_requests.len() >= MAX_REQUESTS_PER_CONNECTION {
             self.intake.counters.refused_early.fetch_add(1, Relaxed);
-            self.say(|out| fastcgi::end_request(out, id, 0, ProtocolStatus::Overloaded));
+            self.queue_response(|output| {
+                fastcgi::write_end_request(output, id, 0, ProtocolStatus::Overloaded)
+            });
             return Ok(());
         }
-        let half = Half {
-            began: Instant::now(),
+        let partial = PartialRequest {
+            started_at: Instant::now(),
             params: Vec::new(),
             params_done: false,
             body: Vec::new(),
-            held: self.intake.bodies.held(),
-            keep: flags & fastcgi::KEEP_CONN != 0,
+            held: self.intake.request_memory.held(),
+            keep_connection: flags & fastcgi::KEEP_CONN != 0,
         };
-        self.half.insert(id, half);
+        self.partial_requests.insert(id, partial);
         Ok(())
     }
 
-    fn abort(&mut self, id: u16) {
-        let (half, open) = (self.half.remove(&id), self.open.remove(&id));
+    fn handle_abort(&mut self, id: u16) {
+        let (partial, open) = (self.partial_requests.remove(&id), self.open_requests.remove(&id));
         if let Some(open) = &open {
             let _ = self.intake.inputs.send(Input::Abandoned(open.request));
         }
-        // Where there is neither, its answer is on the way.
-        if let Some(keep) = half.map(|h| h.keep).or(open.map(|o| o.keep)) {
-            self.end(keep, |out| fastcgi::end_request(out, id, 1, ProtocolStatus::RequestComplete));
+        // If it is neither partial nor open, its answer is on the way.
+        if let Some(keep_connection) = partial.map(|p| p.keep_connection).or(open.map(|o| o.keep_connection))
+        {
+            self.queue_end(keep_connection, |output| {
+                fastcgi::write_end_request(output, id, 1, ProtocolStatus::RequestComplete)
+            });
         }
     }
 
-    /// What belongs to no request that is coming in is dropped unseen: the rest of one turned away, however long.
-    fn content(&mut self, record: &Record<'_>) -> Result<(), Broken> {
+    /// Content that belongs to no partial request is discarded, for example the rest of a rejected request, however
+    /// long.
+    fn handle_content(&mut self, record: &Record<'_>) -> Result<(), ConnectionError> {
         let id = record.id;
-        let Some(half) = self.half.get_mut(&id) else { return Ok(()) };
-        let keep = half.keep;
-        let (stream, most) = match record.kind {
-            fastcgi::PARAMS => (&mut half.params, LONGEST_PARAMS),
-            _ => (&mut half.body, LONGEST_BODY),
+        let Some(partial) = self.partial_requests.get_mut(&id) else { return Ok(()) };
+        let keep_connection = partial.keep_connection;
+        let (stream, max_bytes) = match record.kind {
+            fastcgi::PARAMS => (&mut partial.params, MAX_PARAMS_BYTES),
+            _ => (&mut partial.body, MAX_BODY_BYTES),
         };
-        if stream.len() + record.content.len() > most {
+        if stream.len() + record.content.len() > max_bytes {
             return match record.kind {
-                fastcgi::PARAMS => Err(Broken::TooLong),
-                _ => self.turn_away(id, keep, b"Status: 413 Content Too Large\r\nContent-Length: 0\r\n\r\n"),
+                fastcgi::PARAMS => Err(ConnectionError::ParamsTooLong),
+                _ => self.reject_invalid(
+                    id,
+                    keep_connection,
+                    b"Status: 413 Content Too Large\r\nContent-Length: 0\r\n\r\n",
+                ),
             };
         }
-        if !half.held.grow(record.content.len()) {
-            self.half.remove(&id);
+        if !partial.held.grow(record.content.len()) {
+            self.partial_requests.remove(&id);
             self.intake.counters.refused_early.fetch_add(1, Relaxed);
-            self.end(keep, |out| fastcgi::end_request(out, id, 0, ProtocolStatus::Overloaded));
+            self.queue_end(keep_connection, |output| {
+                fastcgi::write_end_request(output, id, 0, ProtocolStatus::Overloaded)
+            });
             return Ok(());
         }
         stream.extend_from_slice(record.content);
         match (record.kind, record.content.is_empty()) {
-            (fastcgi::PARAMS, true) => half.params_done = true,
-            (fastcgi::STDIN, true) if half.params_done => return self.complete(id),
+            (fastcgi::PARAMS, true) => partial.params_done = true,
+            (fastcgi::STDIN, true) if partial.params_done => return self.complete_request(id),
             _ => {}
         }
         Ok(())
     }
 
-    /// Answers a request that can't be used, whether or not it has come whole.
-    fn turn_away(&mut self, id: u16, keep: bool, head: &[u8]) -> Result<(), Broken> {
+    /// Rejects an invalid request, whether or not it is complete.
+    fn reject_invalid(&mut self, id: u16, keep_connection: bool, head: &[u8]) -> Result<(), ConnectionError> {
         self.intake.counters.bad_requests.fetch_add(1, Relaxed);
-        self.half.remove(&id);
-        self.end(keep, |out| {
-            fastcgi::stdout(out, id, head, b"");
-            fastcgi::end_request(out, id, 0, ProtocolStatus::RequestComplete);
+        self.partial_requests.remove(&id);
+        self.queue_end(keep_connection, |output| {
+            fastcgi::write_stdout(output, id, head, b"");
+            fastcgi::write_end_request(output, id, 0, ProtocolStatus::RequestComplete);
         });
-        self.unusable += 1;
-        // Requests that are open on the connection are owed their answers: it ends only once they are given.
-        if self.unusable >= UNUSABLE && self.open.is_empty() {
-            return Err(Broken::Unusable);
+        self.consecutive_invalid += 1;
+        // Open requests on the connection are still owed their answers, so it ends only once they are given.
+        if self.consecutive_invalid >= MAX_CONSECUTIVE_INVALID && self.open_requests.is_empty() {
+            return Err(ConnectionError::TooManyInvalid);
         }
         Ok(())
     }
 
-    /// The last byte of a request has come: from here it counts as taken.
-    fn complete(&mut self, id: u16) -> Result<(), Broken> {
-        let came = clock::steady_ms();
-        let Some(half) = self.half.remove(&id) else { return Ok(()) };
-        self.brought = true;
-        let mut fields = Fields::default();
+    /// A request is complete: from its last byte on it counts as accepted.
+    fn complete_request(&mut self, id: u16) -> Result<(), ConnectionError> {
+        let received_at = clock::steady_ms();
+        let Some(partial) = self.partial_requests.remove(&id) else { return Ok(()) };
+        self.has_received_request = true;
+        let mut fields = RequestFields::default();
         let mut path: &[u8] = b"";
-        for pair in Pairs(&half.params) {
+        for pair in Pairs(&partial.params) {
             let (name, value) = pair?;
             match name {
                 b"SCRIPT_NAME" => path = value,
-                b"HTTP_X_JOB_ID" => fields.job.put(value),
-                b"HTTP_X_ALLOW_MS" => fields.allow_ms.put(value),
-                b"HTTP_X_ITEM" => fields.item.put(value),
-                b"HTTP_X_SLICE" => fields.part.put(value),
-                b"HTTP_X_SET" => fields.group.put(value),
-                b"HTTP_X_RAM_KB" => fields.size_kb.put(value),
-                b"HTTP_X_SEEN" => fields.seen.put(value),
-                b"HTTP_X_UNIQUE" => fields.unique.put(value),
+                b"HTTP_X_JOB_ID" => fields.job.add(value),
+                b"HTTP_X_ALLOW_MS" => fields.allow_ms.add(value),
+                b"HTTP_X_ITEM" => fields.item.add(value),
+                b"HTTP_X_SLICE" => fields.part.add(value),
+                b"HTTP_X_SET" => fields.group.add(value),
+                b"HTTP_X_RAM_KB" => fields.size_kb.add(value),
+                b"HTTP_X_SEEN" => fields.seen.add(value),
+                b"HTTP_X_UNIQUE" => fields.unique.add(value),
                 _ => {}
             }
         }
-        if path == HEALTH {
-            self.client.heard();
+        if path == HEALTH_PATH {
+            self.client.record_valid_request();
             let (head, body): (&[u8], &[u8]) = match self.intake.counters.mode.is_ready() {
                 true => (b"Status: 200 OK\r\nContent-Type: text/plain\r\n\r\n", b"ok\n"),
                 false => (b"Status: 503 Service Unavailable\r\nContent-Type: text/plain\r\n\r\n", b"no\n"),
             };
-            self.end(half.keep, |out| {
-                fastcgi::stdout(out, id, head, body);
-                fastcgi::end_request(out, id, 0, ProtocolStatus::RequestComplete);
+            self.queue_end(partial.keep_connection, |output| {
+                fastcgi::write_stdout(output, id, head, body);
+                fastcgi::write_end_request(output, id, 0, ProtocolStatus::RequestComplete);
             });
             return Ok(());
         }
-        let class = std::str::from_utf8(path).ok().and_then(|p| p.strip_prefix(API));
-        let ready = class.and_then(|class| self.intake.ready(class, &fields, half.body, half.held, came));
-        let Some(ready) = ready else {
-            return self.turn_away(id, half.keep, b"Status: 400 Bad Request\r\nContent-Length: 0\r\n\r\n");
+        let class = std::str::from_utf8(path).ok().and_then(|p| p.strip_prefix(API_PREFIX));
+        let validated = class
+            .and_then(|class| self.intake.validate(class, &fields, partial.body, partial.held, received_at));
+        let Some(validated) = validated else {
+            return self.reject_invalid(
+                id,
+                partial.keep_connection,
+                b"Status: 400 Bad Request\r\nContent-Length: 0\r\n\r\n",
+            );
         };
-        self.unusable = 0;
-        self.client.heard();
-        let owed = match self.client.open(&self.intake.counters) {
-            Ok(owed) => owed,
-            Err(NotTaken::Closed) => return Err(Broken::Closed),
-            Err(NotTaken::TooMany) => {
+        self.consecutive_invalid = 0;
+        self.client.record_valid_request();
+        let open_guard = match self.client.open_request(&self.intake.counters) {
+            Ok(open_guard) => open_guard,
+            Err(OpenError::Closed) => return Err(ConnectionError::Closed),
+            Err(OpenError::TooMany) => {
                 self.intake.counters.refused_early.fetch_add(1, Relaxed);
-                self.end(half.keep, |out| fastcgi::end_request(out, id, 0, ProtocolStatus::Overloaded));
+                self.queue_end(partial.keep_connection, |output| {
+                    fastcgi::write_end_request(output, id, 0, ProtocolStatus::Overloaded)
+                });
                 return Ok(());
             }
         };
-        self.serials += 1;
-        let (connection, slot, serial) = (self.connection, id, self.serials);
+        self.last_serial += 1;
+        let (connection, fcgi_id, serial) = (self.connection, id, self.last_serial);
         let mailbox = self.mailbox.clone();
         let responder =
-            Responder::new(move |answer| mailbox.post(Delivery { connection, slot, serial, answer }));
-        let request = self.intake.hand_in(ready, responder);
-        self.open.insert(id, Open { request, serial, keep: half.keep, owed });
+            Responder::new(move |answer| mailbox.post(Delivery { connection, fcgi_id, serial, answer }));
+        let request = self.intake.submit(validated, responder);
+        self.open_requests.insert(
+            id,
+            OpenRequest { request, serial, keep_connection: partial.keep_connection, open_guard },
+        );
         Ok(())
     }
 }
 
-fn answer(delivery: &Delivery) -> Vec<u8> {
-    let mut out = Vec::new();
-    let nothing: &[u8] = &[];
+/// Encodes an answer as FastCGI records.
+fn encode_answer(delivery: &Delivery) -> Vec<u8> {
+    let mut output = Vec::new();
+    let no_body: &[u8] = &[];
     let (head, body) = match &delivery.answer {
         Answer::Served(copy) if copy.client_has_it => {
-            ("Status: 200 OK\r\nX-Current: 1\r\nContent-Length: 0\r\n\r\n".to_owned(), nothing)
+            ("Status: 200 OK\r\nX-Current: 1\r\nContent-Length: 0\r\n\r\n".to_owned(), no_body)
         }
         Answer::Served(copy) => (
             format!(
@@ -408,11 +454,11 @@
         ),
         Answer::Refused { wait_ms } => {
             let wait = wait_ms.map(|ms| format!("X-Wait-Ms: {ms}\r\n")).unwrap_or_default();
-            (format!("Status: 503 Service Unavailable\r\n{wait}Content-Length: 0\r\n\r\n"), nothing)
+            (format!("Status: 503 Service Unavailable\r\n{wait}Content-Length: 0\r\n\r\n"), no_body)
         }
-        Answer::Failed => ("Status: 502 Bad Gateway\r\nContent-Length: 0\r\n\r\n".to_owned(), nothing),
+        Answer::Failed => ("Status: 502 Bad Gateway\r\nContent-Length: 0\r\n\r\n".to_owned(), no_body),
     };
-    fastcgi::stdout(&mut out, delivery.slot, head.as_bytes(), body);
-    fastcgi::end_request(&mut out, delivery.slot, 0, ProtocolStatus::RequestComplete);
-    out
+    fastcgi::write_stdout(&mut output, delivery.fcgi_id, head.as_bytes(), body);
+    fastcgi::write_end_request(&mut output, delivery.fcgi_id, 0, ProtocolStatus::RequestComplete);
+    output
 }
--- a/front/src/server/http.rs
+++ b/front/src/server/http.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1, as the clients that followed a DNS answer speak it. Each request is decided afresh on its arrival.
+//! The HTTP/1.1 server for clients that followed a DNS answer. Every request is routed anew when it arrives.
 
 use std::io::{self, Read, Write};
 use std::net::{Shutdown, TcpListener, TcpStream};
@@ -19,83 +19,86 @@
 use crate::process::accept::accept_until;
 use crate::process::start_gate::StartGate;
 use crate::process::{clock, spawn};
-use crate::server::clients::{Client, Clients, NotTaken, Protocol, REQUEST};
-use crate::server::{Field, Fields, Intake, Ready};
+use crate::server::clients::{Client, Clients, OpenError, Protocol, REQUEST_TIMEOUT};
+use crate::server::{Field, Intake, RequestFields, ValidRequest};
 use crate::wire::http::{self, Body, RequestHead};
 
-const LONGEST_BODY: usize = 48_000;
-/// A connection with no request on it, and one whose request does not come on, are closed after so long.
-const IDLE: Duration = Duration::from_secs(10);
-/// A request is whole so soon after its first byte; a little less than all that the connection has for it.
-const WHOLE: Duration = Duration::from_millis(REQUEST.as_millis() as u64 - 300);
-/// What still comes of a request that was turned away is counted and dropped, so far and so long: a close with
-/// bytes unread would take the answer away.
-const DROPPED: (u64, Duration) = (64 << 20, Duration::from_secs(5));
-/// The same behind the last answer of a connection that had nothing wrong.
-const LINGER: (u64, Duration) = (16 << 20, Duration::from_secs(2));
-/// So often a waiting thread looks whether its client is still there.
-const LOOK: Duration = Duration::from_millis(50);
-/// Past its deadline an answer is still waited for this long: the engine gives one by then.
-const SLACK: Ms = 40.0;
-/// The address of ours that a client should use instead.
-const USE: &str = "X-Use-Address";
-/// Clients of a drained front are told to wait from so many milliseconds on, spread over so many more.
-const SPREAD: (u64, u64) = (50, 400);
-const API: &str = "/api/v2/";
+const MAX_BODY_BYTES: usize = 48_000;
+/// Timeout of a connection without a request. A write to a client that does not read is given up after the same time.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+/// A request must be complete this long after its first byte: slightly less than the connection timeout, so that the
+/// client still gets a 408.
+const REQUEST_READ_TIMEOUT: Duration = Duration::from_millis(REQUEST_TIMEOUT.as_millis() as u64 - 300);
+/// Limits, in bytes and time, for reading and discarding the rest of a rejected request: closing a socket with unread
+/// bytes resets it and loses the answer.
+const REJECTED_INPUT_LIMITS: (u64, Duration) = (64 << 20, Duration::from_secs(5));
+/// The same limits after the last answer of a connection without errors.
+const LINGER_LIMITS: (u64, Duration) = (16 << 20, Duration::from_secs(2));
+/// The interval at which a waiting thread checks whether its client is still connected.
+const CLIENT_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// How long after its deadline an answer is still awaited; the engine gives one by then.
+const ANSWER_GRACE_MS: Ms = 40.0;
+/// Names the address that the client should use instead.
+const USE_ADDRESS_HEADER: &str = "X-Use-Address";
+/// Clients of a drained front are told to wait at least this long, plus a share of the spread.
+const REDIRECT_MIN_WAIT_MS: u64 = 50;
+const REDIRECT_WAIT_SPREAD_MS: u64 = 400;
+const API_PREFIX: &str = "/api/v2/";
 
-/// What all our addresses share.
-pub struct Site {
+/// State that all HTTP listeners of the process share.
+pub struct HttpContext {
     pub name: String,
     pub intake: Arc<Intake>,
     pub clients: Clients,
     pub ledger: Arc<Ledger>,
     pub in_force: Arc<InForce>,
-    /// Where sites are watched.
+    /// Present where sites are monitored for failover.
     pub sites: Option<Arc<SiteFailover>>,
     pub seed: u64,
-    pub jobs: AtomicU64,
+    pub job_counter: AtomicU64,
 }
 
-/// Takes connections on a thread of its own from the moment in which the gate opens.
+/// Starts the thread that accepts connections once the gate opens.
 ///
 /// # Errors
-/// If the thread can't be started.
+/// If the thread cannot be started.
 pub fn start(
     listener: TcpListener,
-    site: &Arc<Site>,
+    context: &Arc<HttpContext>,
     stop: &Arc<AtomicBool>,
     gate: &StartGate,
 ) -> io::Result<()> {
-    let (site, stop, gate) = (site.clone(), stop.clone(), gate.clone());
+    let (context, stop, gate) = (context.clone(), stop.clone(), gate.clone());
     let run = move || {
         gate.wait();
-        accept(&listener, &site, &stop);
+        accept(&listener, &context, &stop);
     };
     spawn("http-accept", run).map(drop)
 }
 
-fn accept(listener: &TcpListener, site: &Arc<Site>, stop: &Arc<AtomicBool>) {
+fn accept(listener: &TcpListener, context: &Arc<HttpContext>, stop: &Arc<AtomicBool>) {
     accept_until(
         "http",
         listener,
         || stop.load(Relaxed),
         |stream| {
-            let Some(admitted) = site.clients.admit(stream, Protocol::Http) else { return };
-            let (site, stop) = (site.clone(), stop.clone());
+            let Some(admitted) = context.clients.admit(stream, Protocol::Http) else { return };
+            let (context, stop) = (context.clone(), stop.clone());
             let served = spawn("http-client", move || {
                 let client = &admitted.client;
-                let run = || Connection { site: &site, stop: &stop, client, bytes: Vec::new() }.serve();
+                let run = || Connection { context: &context, stop: &stop, client, input: Vec::new() }.serve();
                 if catch_unwind(AssertUnwindSafe(run)).is_err() {
                     eprintln!("http connection: dropped after a panic");
                 }
             });
-            if let Err(why) = served {
-                eprintln!("http: no thread for a connection: {why}");
+            if let Err(error) = served {
+                eprintln!("http: cannot start a connection thread: {error}");
             }
         },
     );
 }
 
+/// A response before it is encoded.
 struct Response {
     status: u16,
     headers: Vec<(&'static str, String)>,
@@ -110,40 +113,45 @@
     }
 }
 
+/// One client connection and the bytes received and not yet used.
 struct Connection<'a> {
-    site: &'a Site,
+    context: &'a HttpContext,
     stop: &'a AtomicBool,
     client: &'a Arc<Client>,
-    bytes: Vec<u8>,
+    input: Vec<u8>,
 }
 
 impl Connection<'_> {
     fn serve(&mut self) {
         let _ = self.client.stream().set_nodelay(true);
-        let _ = self.client.stream().set_write_timeout(Some(IDLE));
+        let _ = self.client.stream().set_write_timeout(Some(IDLE_TIMEOUT));
         while !self.stop.load(Relaxed) {
             match self.read_request() {
                 Ok(Some((head, body))) => {
-                    self.client.heard();
-                    let opened = self.client.open(&self.site.intake.counters);
-                    // Only now: until then it is a request that has come in part, and its connection is not at rest.
-                    self.client.brings(None);
-                    let owed = match opened {
-                        Ok(owed) => owed,
-                        Err(NotTaken::Closed) => return,
-                        Err(NotTaken::TooMany) => {
-                            self.site.intake.counters.refused_early.fetch_add(1, Relaxed);
-                            if self.send(&reply(&Answer::Refused { wait_ms: Some(500) }, false), false, false)
-                            {
-                                self.drop_rest(LINGER);
+                    self.client.record_valid_request();
+                    let opened = self.client.open_request(&self.context.intake.counters);
+                    // Not earlier: until the request is open it counts as partially received, so that the connection is
+                    // not idle.
+                    self.client.set_receive_start(None);
+                    let open_guard = match opened {
+                        Ok(open_guard) => open_guard,
+                        Err(OpenError::Closed) => return,
+                        Err(OpenError::TooMany) => {
+                            self.context.intake.counters.refused_early.fetch_add(1, Relaxed);
+                            if self.send(
+                                &response_for(&Answer::Refused { wait_ms: Some(500) }, false),
+                                false,
+                                false,
+                            ) {
+                                self.discard_rest(LINGER_LIMITS);
                             }
                             return;
                         }
                     };
-                    let Some(reply) = self.answer(&head, body) else { return };
-                    let keep = head.keep && !self.site.intake.counters.mode.sends_away();
-                    let written = self.send(&reply, keep, head.method == "HEAD");
-                    drop(owed);
+                    let Some(response) = self.answer(&head, body) else { return };
+                    let keep = head.keep_alive && !self.context.intake.counters.mode.sends_away();
+                    let written = self.send(&response, keep, head.method == "HEAD");
+                    drop(open_guard);
                     if !written {
                         return;
                     }
@@ -153,43 +161,46 @@
                 }
                 Ok(None) => break,
                 Err(refused) => {
-                    self.site.intake.counters.bad_requests.fetch_add(1, Relaxed);
+                    self.context.intake.counters.bad_requests.fetch_add(1, Relaxed);
                     if self.send(&refused, false, false) {
-                        self.drop_rest(DROPPED);
+                        self.discard_rest(REJECTED_INPUT_LIMITS);
                     }
                     return;
                 }
             }
         }
-        self.drop_rest(LINGER);
+        self.discard_rest(LINGER_LIMITS);
     }
 
-    fn send(&self, reply: &Response, keep: bool, head_only: bool) -> bool {
-        let bytes = http::response(reply.status, &reply.headers, &reply.body, keep, head_only);
-        self.client.takes();
+    /// Writes a response; false if the client did not take it.
+    fn send(&self, response: &Response, keep: bool, head_only: bool) -> bool {
+        let bytes =
+            http::encode_response(response.status, &response.headers, &response.body, keep, head_only);
+        self.client.start_write();
         let mut stream: &TcpStream = self.client.stream();
         let written = stream.write_all(&bytes).is_ok();
-        self.client.took();
+        self.client.finish_write();
         written
     }
 
-    /// Ends our side, and reads on until the client ends its own, so far and so long.
-    fn drop_rest(&mut self, (mut left, most): (u64, Duration)) {
+    /// Shuts down our side and discards input until the client closes its own, within these limits.
+    fn discard_rest(&mut self, (mut left, max_time): (u64, Duration)) {
         let _ = self.client.stream().shutdown(Shutdown::Write);
-        let until = Instant::now() + most;
-        self.client.heard();
-        self.client.brings(None);
+        let until = Instant::now() + max_time;
+        // Lifts the deadline for the first request, so that the watch thread does not close the connection meanwhile.
+        self.client.record_valid_request();
+        self.client.set_receive_start(None);
         loop {
-            self.bytes.clear();
-            if !self.more(until) || self.bytes.len() as u64 > left {
+            self.input.clear();
+            if !self.read_more(until) || self.input.len() as u64 > left {
                 return;
             }
-            left -= self.bytes.len() as u64;
+            left -= self.input.len() as u64;
         }
     }
 
-    /// More bytes; false where there are no more.
-    fn more(&mut self, until: Instant) -> bool {
+    /// Reads more bytes; false if there are none left or the time is over.
+    fn read_more(&mut self, until: Instant) -> bool {
         let left = until.saturating_duration_since(Instant::now());
         let mut chunk = [0; 8192];
         let mut stream: &TcpStream = self.client.stream();
@@ -197,79 +208,79 @@
             return false;
         }
         match stream.read(&mut chunk) {
-            Ok(got) if got > 0 => self.bytes.extend_from_slice(&chunk[..got]),
-            // A process that is stopped and goes on sees this on every read that has a time limit.
+            Ok(got) if got > 0 => self.input.extend_from_slice(&chunk[..got]),
+            // A process that is stopped and continued gets this error from every read with a timeout.
             Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
             _ => return false,
         }
         true
     }
 
-    /// The next request; `None` where the client has no more, an answer where it can't be read.
+    /// Reads the next request; `None` if the client sends no more, an error response if it is malformed.
     fn read_request(&mut self) -> Result<Option<(RequestHead, Vec<u8>)>, Response> {
-        let (since, mut begun) = (Instant::now(), None);
+        let (waiting_since, mut first_byte_at) = (Instant::now(), None);
         let head = loop {
-            let until = match self.bytes.is_empty() {
-                true => since + IDLE,
+            let until = match self.input.is_empty() {
+                true => waiting_since + IDLE_TIMEOUT,
                 false => {
-                    let begun = *begun.get_or_insert_with(Instant::now);
-                    self.client.brings(Some(begun));
-                    begun + WHOLE
+                    let first_byte_at = *first_byte_at.get_or_insert_with(Instant::now);
+                    self.client.set_receive_start(Some(first_byte_at));
+                    first_byte_at + REQUEST_READ_TIMEOUT
                 }
             };
-            match http::request_head(&self.bytes) {
+            match http::parse_request_head(&self.input) {
                 Ok(Some(head)) => break head,
-                Ok(None) if self.more(until) => {}
-                Ok(None) if self.bytes.is_empty() => return Ok(None),
+                Ok(None) if self.read_more(until) => {}
+                Ok(None) if self.input.is_empty() => return Ok(None),
                 Ok(None) => return Err(Response::text(408, "the request has not come whole")),
-                Err(why) => return Err(Response::text(400, why)),
+                Err(error) => return Err(Response::text(400, error)),
             }
         };
         if head.header("expect").is_some_and(|e| e.eq_ignore_ascii_case("100-continue")) {
             let mut stream: &TcpStream = self.client.stream();
             let _ = stream.write_all(b"HTTP/1.1 100 Continue\r\n\r\n");
         }
-        let until = begun.unwrap_or_else(Instant::now) + WHOLE;
+        let until = first_byte_at.unwrap_or_else(Instant::now) + REQUEST_READ_TIMEOUT;
         loop {
-            let rest = &self.bytes[head.size..];
-            let whole = match head.body {
-                Body::Length(length) if length > LONGEST_BODY => None,
+            let rest = &self.input[head.head_bytes..];
+            let complete = match head.body {
+                Body::Length(length) if length > MAX_BODY_BYTES => None,
                 Body::Length(length) if rest.len() >= length => Some((rest[..length].to_vec(), length)),
                 Body::Length(_) | Body::UntilClose => Some((Vec::new(), usize::MAX)),
-                Body::Chunked if rest.len() > 2 * LONGEST_BODY => None,
-                Body::Chunked => match http::chunked(rest) {
-                    Ok(whole) => whole.or(Some((Vec::new(), usize::MAX))),
-                    Err(why) => return Err(Response::text(400, why)),
+                Body::Chunked if rest.len() > 2 * MAX_BODY_BYTES => None,
+                Body::Chunked => match http::decode_chunked(rest) {
+                    Ok(complete) => complete.or(Some((Vec::new(), usize::MAX))),
+                    Err(error) => return Err(Response::text(400, error)),
                 },
             };
-            match whole {
-                Some((body, used)) if used != usize::MAX && body.len() <= LONGEST_BODY => {
-                    self.bytes.drain(..head.size + used);
+            match complete {
+                Some((body, consumed)) if consumed != usize::MAX && body.len() <= MAX_BODY_BYTES => {
+                    self.input.drain(..head.head_bytes + consumed);
                     return Ok(Some((head, body)));
                 }
                 Some((_, usize::MAX)) => {
-                    if !self.more(until) {
+                    if !self.read_more(until) {
                         return Err(Response::text(408, "the request has not come whole"));
                     }
                 }
-                _ => return Err(Response::text(413, format!("{LONGEST_BODY} bytes at most"))),
+                _ => return Err(Response::text(413, format!("{MAX_BODY_BYTES} bytes at most"))),
             }
         }
     }
 
-    /// The answer to a request; `None` where the client has left.
+    /// Answers a request; `None` if the client has disconnected.
     fn answer(&self, head: &RequestHead, body: Vec<u8>) -> Option<Response> {
-        let came = clock::steady_ms();
+        let received_at = clock::steady_ms();
         let path = head.path.split('?').next().unwrap_or("");
         match path {
-            "/-/healthy" if self.site.intake.counters.mode.is_ready() => {
+            "/-/healthy" if self.context.intake.counters.mode.is_ready() => {
                 return Some(Response::text(200, "ok"))
             }
             "/-/healthy" => return Some(Response::text(503, "no")),
-            "/-/counters" => return Some(Response::text(200, self.site.intake.counters.to_string())),
+            "/-/counters" => return Some(Response::text(200, self.context.intake.counters.to_string())),
             _ => {}
         }
-        let class = path.strip_prefix(API).and_then(|name| self.site.intake.class(name));
+        let class = path.strip_prefix(API_PREFIX).and_then(|name| self.context.intake.class(name));
         let Some(class) = class else { return Some(Response::text(404, "there is no such class")) };
         let method = match (class.write, head.method.as_str()) {
             (true, "POST") | (false, "GET" | "HEAD") => None,
@@ -277,87 +288,88 @@
             (false, _) => Some("GET, HEAD"),
         };
         if let Some(allowed) = method {
-            let mut reply = Response::text(405, "not with this method");
-            reply.headers.push(("Allow", allowed.into()));
-            return Some(reply);
+            let mut response = Response::text(405, "not with this method");
+            response.headers.push(("Allow", allowed.into()));
+            return Some(response);
         }
         let field = |name: &str| {
-            let mut field = Field::Absent;
-            head.headers.iter().filter(|(n, _)| n == name).for_each(|(_, v)| field.put(v.as_bytes()));
-            field
+            let mut collected = Field::Absent;
+            head.headers.iter().filter(|(n, _)| n == name).for_each(|(_, v)| collected.add(v.as_bytes()));
+            collected
         };
-        let own_job = self.job();
-        let usual = class.deadline.to_string();
+        let default_job = self.new_job_id();
+        let default_allow_ms = class.deadline.to_string();
         let seen = match head.header("if-none-match") {
             Some(tag) if field("x-seen") == Field::Absent => {
-                Field::Once(tag.trim_start_matches("W/").trim_matches('"').as_bytes())
+                Field::Single(tag.trim_start_matches("W/").trim_matches('"').as_bytes())
             }
             _ => field("x-seen"),
         };
-        let fields = Fields {
-            job: field("x-job-id").or(&own_job),
-            allow_ms: field("x-allow-ms").or(&usual),
+        let fields = RequestFields {
+            job: field("x-job-id").or_default_value(&default_job),
+            allow_ms: field("x-allow-ms").or_default_value(&default_allow_ms),
             item: field("x-item"),
             part: field("x-slice"),
             group: field("x-set"),
             size_kb: field("x-ram-kb"),
             seen,
             unique: match (class.keyed, head.header("idempotency-key")) {
-                (true, Some(key)) => Field::Once(key.trim_matches('"').as_bytes()),
+                (true, Some(key)) => Field::Single(key.trim_matches('"').as_bytes()),
                 _ => Field::Absent,
             },
             shop: field("x-shop"),
         };
-        let mut held = self.site.intake.bodies.held();
+        let mut held = self.context.intake.request_memory.held();
         if !held.grow(body.len()) {
-            return Some(reply(&Answer::Refused { wait_ms: Some(500) }, false));
+            return Some(response_for(&Answer::Refused { wait_ms: Some(500) }, false));
         }
         let conditional = head.header("if-none-match").is_some();
         if class.write {
-            return self.write_once(head, &class, fields, body, held, came);
+            return self.answer_keyed_write(head, &class, fields, body, held, received_at);
         }
-        let state = self.site.in_force.now();
-        if state.drained(came) {
-            return Some(self.sent_away(&state));
+        let state = self.context.in_force.now();
+        if state.drained(received_at) {
+            return Some(self.redirect_response(&state));
         }
-        if let Some(reply) = self.placed(&state, &class) {
-            return Some(reply);
+        if let Some(response) = self.failover_response(&state, &class) {
+            return Some(response);
         }
-        let Some(ready) = self.ready(&class, &fields, body, held, came) else {
+        let Some(request) = self.validate(&class, &fields, body, held, received_at) else {
             return Some(Response::text(400, "X-Item, X-Slice or X-Allow-Ms can't be used"));
         };
-        let deadline = ready.deadline;
+        let deadline = request.deadline;
         let (to, answer) = bounded(1);
         let id = self
-            .site
+            .context
             .intake
-            .hand_in(ready, Responder::new(move |answer| drop(to.try_send(Arc::new(answer)))));
+            .submit(request, Responder::new(move |answer| drop(to.try_send(Arc::new(answer)))));
         let Some(answer) = self.wait(&answer, deadline) else {
-            // The client has left: nothing more is to be done for it.
-            let _ = self.site.intake.inputs.send(Input::Abandoned(id));
+            // The client has disconnected: its request is abandoned.
+            let _ = self.context.intake.inputs.send(Input::Abandoned(id));
             return None;
         };
-        let mut reply = reply(&answer, conditional);
-        if matches!(*answer, Answer::Refused { .. }) && self.sends_elsewhere(&state) {
-            reply.headers.extend(self.elsewhere(&state));
+        let mut response = response_for(&answer, conditional);
+        if matches!(*answer, Answer::Refused { .. }) && self.redirects_clients(&state) {
+            response.headers.extend(self.alternative_address(&state));
         }
-        Some(reply)
+        Some(response)
     }
 
-    /// This front has drained: the client is told where to go, and to take its time, so that not all are there at
-    /// the same moment.
-    fn sent_away(&self, state: &State) -> Response {
-        self.site.intake.counters.sent_away.fetch_add(1, Relaxed);
-        let turn = self.site.jobs.fetch_add(1, Relaxed);
-        let wait = SPREAD.0 + turn.wrapping_mul(37) % SPREAD.1;
-        let mut reply = reply(&Answer::Refused { wait_ms: Some(wait) }, false);
-        reply.headers.extend(self.elsewhere(state));
-        reply
+    /// The response of a drained front: it names another address, and a waiting time that differs between clients so
+    /// that they do not all arrive there at once.
+    fn redirect_response(&self, state: &State) -> Response {
+        self.context.intake.counters.sent_away.fetch_add(1, Relaxed);
+        let sequence = self.context.job_counter.fetch_add(1, Relaxed);
+        let wait = REDIRECT_MIN_WAIT_MS + sequence.wrapping_mul(37) % REDIRECT_WAIT_SPREAD_MS;
+        let mut response = response_for(&Answer::Refused { wait_ms: Some(wait) }, false);
+        response.headers.extend(self.alternative_address(state));
+        response
     }
 
-    /// What the plan for a lost site says to this client before anything is done for it: to go elsewhere, or that it is refused.
-    fn placed(&self, state: &State, class: &Class) -> Option<Response> {
-        let failover = self.site.sites.as_ref()?;
+    /// The response that the failover plan of a lost site prescribes for this client before any work is done: a
+    /// redirect or a rejection; `None` if the client is served here.
+    fn failover_response(&self, state: &State, class: &Class) -> Option<Response> {
+        let failover = self.context.sites.as_ref()?;
         let view = &state.served.as_ref()?.view;
         let client = Net::host(self.client.stream().peer_addr().ok()?.ip());
         let (home, routing_draw, rejection_draw) = view.home(client);
@@ -366,106 +378,110 @@
         match failover.decide(&client) {
             ClientDecision::ServeHere => None,
             ClientDecision::Redirect => {
-                self.site.intake.counters.site_refused.fetch_add(1, Relaxed);
-                Some(self.sent_away(state))
+                self.context.intake.counters.site_refused.fetch_add(1, Relaxed);
+                Some(self.redirect_response(state))
             }
             ClientDecision::Reject { max_wait_ms } => {
-                self.site.intake.counters.site_refused.fetch_add(1, Relaxed);
-                let turn = self.site.jobs.fetch_add(1, Relaxed);
-                // Those who are refused do not return together.
+                self.context.intake.counters.site_refused.fetch_add(1, Relaxed);
+                let sequence = self.context.job_counter.fetch_add(1, Relaxed);
+                // The waiting times are spread, so that rejected clients do not return at once.
                 let half = max_wait_ms / 2;
-                let wait = half + turn.wrapping_mul(0x9E37_79B9_7F4A_7C15) % half.max(1);
-                Some(reply(&Answer::Refused { wait_ms: Some(wait) }, false))
+                let wait = half + sequence.wrapping_mul(0x9E37_79B9_7F4A_7C15) % half.max(1);
+                Some(response_for(&Answer::Refused { wait_ms: Some(wait) }, false))
             }
         }
     }
 
-    /// The front drains, by its file or by an operator's word: those whom it refuses are told of another one.
-    fn sends_elsewhere(&self, state: &State) -> bool {
-        state.clings_until.is_some() || self.site.intake.counters.mode.sends_away()
+    /// Whether the front drains, by configuration or by an operator command: rejected clients are told another address.
+    fn redirects_clients(&self, state: &State) -> bool {
+        state.clings_until.is_some() || self.context.intake.counters.mode.sends_away()
     }
 
-    fn elsewhere(&self, state: &State) -> Option<(&'static str, String)> {
+    /// The header that names another address for this client, if there is one.
+    fn alternative_address(&self, state: &State) -> Option<(&'static str, String)> {
         let client = self.client.stream().peer_addr().ok()?.ip();
-        state.elsewhere(client, &self.site.name).map(|at| (USE, at.to_string()))
+        state.elsewhere(client, &self.context.name).map(|at| (USE_ADDRESS_HEADER, at.to_string()))
     }
 
-    /// A request that must never run twice. It runs once for its key; once it has been sent on, whether or not this client
-    /// stays for it.
-    fn write_once(
+    /// Handles a request that must never run twice. It runs once for its key; once it has been forwarded, it does so
+    /// whether or not this client stays connected.
+    fn answer_keyed_write(
         &self,
         head: &RequestHead,
         class: &Class,
-        fields: Fields<'_>,
+        fields: RequestFields<'_>,
         body: Vec<u8>,
         held: Held,
-        came: Ms,
+        received_at: Ms,
     ) -> Option<Response> {
         let key = head.header("idempotency-key").map(|k| Token::new(k.trim_matches('"').as_bytes()));
         let Some(Some(key)) = key else {
             return Some(Response::text(400, "an Idempotency-Key of 1 to 64 plain characters is needed"));
         };
-        let (state, site) = (self.site.in_force.now(), self.site);
-        // What has run here is told here, whoever owns the key now.
-        if !site.ledger.knows(&key) {
-            let mut owner = state.owner(key.as_str(), &site.name, came);
-            if let Some(failover) = &site.sites {
-                let by_sites = failover.owner(&state.config, key.as_str(), came, &failover.current());
+        let (state, context) = (self.context.in_force.now(), self.context);
+        // The outcome of what has run here is given here, whichever front owns the key now.
+        if !context.ledger.knows(&key) {
+            let mut owner = state.owner(key.as_str(), &context.name, received_at);
+            if let Some(failover) = &context.sites {
+                let by_sites = failover.owner(&state.config, key.as_str(), received_at, &failover.current());
                 owner = by_sites.or_later(owner);
             }
             match owner {
                 Owner::Other(owner) => {
-                    let mut reply = Response::text(421, format!("front {} takes this key", owner.name));
-                    reply.headers.extend(owner.http.first().map(|at| (USE, at.to_string())));
-                    return Some(reply);
+                    let mut response = Response::text(421, format!("front {} takes this key", owner.name));
+                    response
+                        .headers
+                        .extend(owner.http.first().map(|at| (USE_ADDRESS_HEADER, at.to_string())));
+                    return Some(response);
                 }
                 Owner::NotYet(until) => {
-                    let wait = (until - came).clamp(1.0, 10_000.0) as u64;
-                    return Some(reply(&Answer::Refused { wait_ms: Some(wait) }, false));
+                    let wait = (until - received_at).clamp(1.0, 10_000.0) as u64;
+                    return Some(response_for(&Answer::Refused { wait_ms: Some(wait) }, false));
                 }
-                Owner::Ours if state.drained(came) => return Some(self.sent_away(&state)),
-                // What must be served is never refused by plan; a client that is to go elsewhere is told who takes its key by 421.
+                Owner::Ours if state.drained(received_at) => return Some(self.redirect_response(&state)),
+                // A request that must be served is never rejected by the failover plan; a client that should go
+                // elsewhere learns the owner of its key from a 421.
                 Owner::Ours => {}
             }
         }
-        let print = site.ledger.print(&(&class.name, fields.item, fields.part, fields.group, &body));
-        let Some(ready) = self.ready(class, &fields, body, held, came) else {
+        let fingerprint = context.ledger.print(&(&class.name, fields.item, fields.part, fields.group, &body));
+        let Some(request) = self.validate(class, &fields, body, held, received_at) else {
             return Some(Response::text(400, "X-Item, X-Slice or X-Allow-Ms can't be used"));
         };
-        let deadline = ready.deadline;
-        let result = match site.ledger.enter(&key, print, came) {
-            Entered::Repeat(answer) => return Some(reply(&answer, false)),
+        let deadline = request.deadline;
+        let result = match context.ledger.enter(&key, fingerprint, received_at) {
+            Entered::Repeat(answer) => return Some(response_for(&answer, false)),
             Entered::OtherRequest => {
                 return Some(Response::text(422, "this Idempotency-Key was used for another request"))
             }
-            Entered::Refuse => return Some(reply(&Answer::Refused { wait_ms: Some(500) }, false)),
+            Entered::Refuse => return Some(response_for(&Answer::Refused { wait_ms: Some(500) }, false)),
             Entered::Join(result) => result,
             Entered::Run(result) => {
-                let ledger = site.ledger.clone();
-                let ended = key.clone();
+                let ledger = context.ledger.clone();
+                let finished_key = key.clone();
                 let responder =
-                    Responder::new(move |answer| ledger.finish(&ended, answer, clock::steady_ms()));
-                let id = site.intake.hand_in(ready, responder);
-                site.ledger.runs(&key, id);
+                    Responder::new(move |answer| ledger.finish(&finished_key, answer, clock::steady_ms()));
+                let id = context.intake.submit(request, responder);
+                context.ledger.runs(&key, id);
                 result
             }
         };
         let answer = self.wait(&result.result, deadline);
         if answer.is_none() {
-            if let Some(id) = site.ledger.leave(&key, &result) {
-                let _ = site.intake.inputs.send(Input::NoWaiters(id));
+            if let Some(id) = context.ledger.leave(&key, &result) {
+                let _ = context.intake.inputs.send(Input::NoWaiters(id));
             }
         }
-        answer.map(|answer| reply(&answer, false))
+        answer.map(|answer| response_for(&answer, false))
     }
 
-    /// Waits for the answer; `None` where the client leaves before. Where the deadline passes it has failed.
+    /// Waits for the answer; `None` if the client disconnects first. After the deadline the answer is a failure.
     fn wait(&self, answer: &Receiver<Arc<Answer>>, deadline: Ms) -> Option<Arc<Answer>> {
         loop {
-            match answer.recv_timeout(LOOK) {
+            match answer.recv_timeout(CLIENT_CHECK_INTERVAL) {
                 Ok(answer) => return Some(answer),
                 Err(RecvTimeoutError::Disconnected) => return Some(Arc::new(Answer::Failed)),
-                Err(RecvTimeoutError::Timeout) if clock::steady_ms() > deadline + SLACK => {
+                Err(RecvTimeoutError::Timeout) if clock::steady_ms() > deadline + ANSWER_GRACE_MS => {
                     return Some(Arc::new(Answer::Failed))
                 }
                 Err(RecvTimeoutError::Timeout) if self.client_left() => return None,
@@ -474,6 +490,7 @@
         }
     }
 
+    /// Whether the client has closed its side of the connection.
     fn client_left(&self) -> bool {
         let stream = self.client.stream();
         if stream.set_nonblocking(true).is_err() {
@@ -481,35 +498,36 @@
         }
         let seen = stream.peek(&mut [0]);
         let blocking = stream.set_nonblocking(false);
-        let waits = |e: &io::Error| e.kind() == io::ErrorKind::WouldBlock;
-        blocking.is_err() || matches!(seen, Ok(0)) || seen.is_err_and(|e| !waits(&e))
+        let would_block = |e: &io::Error| e.kind() == io::ErrorKind::WouldBlock;
+        blocking.is_err() || matches!(seen, Ok(0)) || seen.is_err_and(|e| !would_block(&e))
     }
 
-    /// Nobody here waits longer than the class allows: the ledger counts on it.
-    fn ready(
+    /// Validates a request. Its deadline is bounded by its class: the ledger relies on no client waiting longer.
+    fn validate(
         &self,
         class: &Class,
-        fields: &Fields<'_>,
+        fields: &RequestFields<'_>,
         body: Vec<u8>,
         held: Held,
-        came: Ms,
-    ) -> Option<Ready> {
-        let ready = self.site.intake.ready(&class.name, fields, body, held, came);
-        if ready.is_none() {
-            self.site.intake.counters.bad_requests.fetch_add(1, Relaxed);
+        received_at: Ms,
+    ) -> Option<ValidRequest> {
+        let request = self.context.intake.validate(&class.name, fields, body, held, received_at);
+        if request.is_none() {
+            self.context.intake.counters.bad_requests.fetch_add(1, Relaxed);
         }
-        ready.map(|r| Ready { deadline: r.deadline.min(came + class.deadline), ..r })
+        request.map(|r| ValidRequest { deadline: r.deadline.min(received_at + class.deadline), ..r })
     }
 
-    /// An id for a request that has none: 16 hex digits, never the same again.
-    fn job(&self) -> String {
-        let next = self.site.jobs.fetch_add(1, Relaxed);
-        let mixed = (self.site.seed ^ next.wrapping_mul(0x9E37_79B9_7F4A_7C15)).rotate_left(23);
+    /// A unique id of 16 hexadecimal digits for a request without one.
+    fn new_job_id(&self) -> String {
+        let next = self.context.job_counter.fetch_add(1, Relaxed);
+        let mixed = (self.context.seed ^ next.wrapping_mul(0x9E37_79B9_7F4A_7C15)).rotate_left(23);
         format!("{:016x}", mixed.wrapping_mul(0xBF58_476D_1CE4_E5B9))
     }
 }
 
-fn reply(answer: &Answer, conditional: bool) -> Response {
+/// Maps an answer of the engine to an HTTP response.
+fn response_for(answer: &Answer, conditional: bool) -> Response {
     match answer {
         Answer::Served(copy) => {
             let mut headers = vec![("Content-Type", "application/octet-stream".to_owned())];
@@ -521,12 +539,12 @@
             Response { status, headers, body: copy.bytes.clone() }
         }
         Answer::Refused { wait_ms } => {
-            let mut reply = Response::text(503, "refused: trying again does no harm");
+            let mut response = Response::text(503, "refused: trying again does no harm");
             if let Some(ms) = wait_ms {
-                reply.headers.push(("X-Wait-Ms", ms.to_string()));
-                reply.headers.push(("Retry-After", ms.div_ceil(1000).max(1).to_string()));
+                response.headers.push(("X-Wait-Ms", ms.to_string()));
+                response.headers.push(("Retry-After", ms.div_ceil(1000).max(1).to_string()));
             }
-            reply
+            response
         }
         Answer::Failed => Response::text(502, "failed"),
     }
--- a/front/src/server/mod.rs
+++ b/front/src/server/mod.rs
@@ -1,4 +1,5 @@
-//! Takes requests in.
+//! Accepts requests from clients: listeners, connections, the protocols they speak, and the validation of request
+//! fields.
 
 pub mod acceptor;
 pub mod clients;
@@ -25,42 +26,43 @@
 use crate::memory::figures::ClassTally;
 use crate::process::log::Log;
 
-/// A field as it came. One that came twice is none that can be used: which of the two is meant is not clear.
+/// A request field as received. A field that occurs twice is unusable, because it is ambiguous which value is meant.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum Field<'a> {
     #[default]
     Absent,
-    Once(&'a [u8]),
-    Doubled,
+    Single(&'a [u8]),
+    Duplicate,
 }
 
 impl<'a> Field<'a> {
-    pub fn put(&mut self, value: &'a [u8]) {
-        *self = if *self == Field::Absent { Field::Once(value) } else { Field::Doubled };
+    /// Records an occurrence of the field.
+    pub fn add(&mut self, value: &'a [u8]) {
+        *self = if *self == Field::Absent { Field::Single(value) } else { Field::Duplicate };
     }
 
-    /// Another value where there is no field.
-    pub fn or(self, usual: &'a str) -> Field<'a> {
+    /// Falls back to a default value if the field is absent.
+    pub fn or_default_value(self, default: &'a str) -> Field<'a> {
         if self == Field::Absent {
-            Field::Once(usual.as_bytes())
+            Field::Single(default.as_bytes())
         } else {
             self
         }
     }
 
-    /// The value by this reading; `None` for one that can't be used, `usual` where there is no field.
-    fn read<T>(self, usual: Option<T>, read: impl FnOnce(&'a [u8]) -> Option<T>) -> Option<T> {
+    /// Parses the value; `default` if the field is absent, `None` if the value is invalid or the field is duplicated.
+    fn parse_or<T>(self, default: Option<T>, parse: impl FnOnce(&'a [u8]) -> Option<T>) -> Option<T> {
         match self {
-            Field::Absent => usual,
-            Field::Once(value) => read(value),
-            Field::Doubled => None,
+            Field::Absent => default,
+            Field::Single(value) => parse(value),
+            Field::Duplicate => None,
         }
     }
 }
 
-/// The fields of a request as a front has found them on its wire.
+/// The raw fields of a request as extracted from the wire, before validation.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Fields<'a> {
+pub struct RequestFields<'a> {
     pub job: Field<'a>,
     pub allow_ms: Field<'a>,
     pub item: Field<'a>,
@@ -68,111 +70,115 @@
     pub group: Field<'a>,
     pub size_kb: Field<'a>,
     pub seen: Field<'a>,
-    /// By what a repeat is known.
+    /// The key by which a repetition of the request is recognized.
     pub unique: Field<'a>,
     pub shop: Field<'a>,
 }
 
-/// Digits only: what `parse` takes beside, such as a sign, `inf` or `1e9`, is no figure of the protocol.
-fn digits<T: FromStr>(value: &[u8]) -> Option<T> {
+/// Parses an unsigned number that consists of digits only. The signs, `inf` and exponents that `parse` would accept are
+/// not part of the protocol.
+fn parse_digits<T: FromStr>(value: &[u8]) -> Option<T> {
     let text = std::str::from_utf8(value).ok().filter(|t| t.bytes().all(|b| b.is_ascii_digit()))?;
     text.parse().ok()
 }
 
-/// A figure from 0 up to `most`, with a fraction or without.
-fn figure(value: &[u8], most: f64) -> Option<f64> {
-    let plain = |t: &&str| t.bytes().all(|b| b.is_ascii_digit() || b == b'.');
-    let figure: f64 = std::str::from_utf8(value).ok().filter(plain)?.parse().ok()?;
-    (0.0..=most).contains(&figure).then_some(figure)
+/// Parses a decimal number from 0 to `max`, with or without a fraction.
+fn parse_decimal(value: &[u8], max: f64) -> Option<f64> {
+    let is_decimal = |t: &&str| t.bytes().all(|b| b.is_ascii_digit() || b == b'.');
+    let number: f64 = std::str::from_utf8(value).ok().filter(is_decimal)?.parse().ok()?;
+    (0.0..=max).contains(&number).then_some(number)
 }
 
-/// 16 hex digits.
-fn hex(value: &[u8]) -> Option<Token> {
-    let fits = value.len() == 16 && value.iter().all(u8::is_ascii_hexdigit);
-    Token::new(value).filter(|_| fits)
+/// Parses an identifier of 16 hexadecimal digits.
+fn parse_hex_id(value: &[u8]) -> Option<Token> {
+    let is_hex = value.len() == 16 && value.iter().all(u8::is_ascii_hexdigit);
+    Token::new(value).filter(|_| is_hex)
 }
 
-/// Above every part and size that there is.
-const MOST_PARTS: u32 = 1_000_000;
-const MOST_KB: f64 = 1e7;
+/// Upper bounds of the part number and of the size in KB, above every value that occurs in practice.
+const MAX_PART: u32 = 1_000_000;
+const MAX_SIZE_KB: f64 = 1e7;
 
-/// The last answer is given so many milliseconds before the client's time ends: it has to get there.
-const ANSWER_BEFORE: Ms = 20.0;
+/// Answers are due this long before the client stops waiting, so that they have time to reach it.
+const ANSWER_MARGIN_MS: Ms = 20.0;
 
-/// The classes that requests may name, each with its counts.
+/// The classes that requests may name, each with its counters.
 #[derive(Debug)]
-pub struct Classes(Vec<(Class, Arc<ClassTally>)>);
+pub struct ClassTable(Vec<(Class, Arc<ClassTally>)>);
 
-impl Classes {
-    fn new(classes: Vec<Class>, counters: &Counters) -> Classes {
-        Classes(classes.into_iter().map(|c| (c.clone(), counters.figures.tally(&c.name))).collect())
+impl ClassTable {
+    fn new(classes: Vec<Class>, counters: &Counters) -> ClassTable {
+        ClassTable(classes.into_iter().map(|c| (c.clone(), counters.figures.tally(&c.name))).collect())
     }
 
+    /// The class of this name with its counters.
     fn find(&self, name: &str) -> Option<&(Class, Arc<ClassTally>)> {
         self.0.iter().find(|(c, _)| &*c.name == name)
     }
 }
 
-/// Where the fronts hand their requests in.
+/// Validates requests and passes them to the engine.
 pub struct Intake {
-    /// The classes that requests may name now, swapped whole at SIGHUP.
-    classes: ArcSwap<Classes>,
-    next: AtomicU32,
+    /// The classes that requests may name, replaced as a whole on SIGHUP.
+    classes: ArcSwap<ClassTable>,
+    next_id: AtomicU32,
     pub inputs: Sender<Input>,
     pub counters: Arc<Counters>,
-    /// Bytes of requests that are held, coming in or open.
-    pub bodies: Budget,
+    /// Bounds the bytes of request bodies in memory, whether partially received or open.
+    pub request_memory: Budget,
     pub log: Log,
 }
 
 impl Intake {
+    /// Creates an intake that sends its requests to `inputs`.
     pub fn new(
         classes: Vec<Class>,
-        bodies: Budget,
+        request_memory: Budget,
         inputs: Sender<Input>,
         counters: Arc<Counters>,
     ) -> Intake {
-        let classes = ArcSwap::from_pointee(Classes::new(classes, &counters));
-        Intake { classes, next: AtomicU32::new(1), inputs, counters, bodies, log: Log::default() }
+        let classes = ArcSwap::from_pointee(ClassTable::new(classes, &counters));
+        Intake { classes, next_id: AtomicU32::new(1), inputs, counters, request_memory, log: Log::default() }
     }
 
+    /// The class of this name, if there is one.
     pub fn class(&self, name: &str) -> Option<Class> {
         self.classes.load().find(name).map(|(class, _)| class.clone())
     }
 
-    /// Requests name these classes from now on; those open keep theirs.
-    pub fn retune(&self, classes: Vec<Class>) {
-        self.classes.store(Arc::new(Classes::new(classes, &self.counters)));
+    /// Replaces the classes for new requests; open requests keep theirs.
+    pub fn replace_classes(&self, classes: Vec<Class>) {
+        self.classes.store(Arc::new(ClassTable::new(classes, &self.counters)));
     }
 
-    /// Makes a request of what came whole at this moment; `None` for fields that can't be used: those must never
-    /// come to a cache node, and never be served.
-    pub fn ready(
+    /// Validates a complete request received at `received_at`. Gives `None` for invalid fields: such a request must
+    /// never reach a cache node and must not be served.
+    pub fn validate(
         &self,
         class: &str,
-        fields: &Fields<'_>,
+        fields: &RequestFields<'_>,
         body: Vec<u8>,
         held: Held,
-        came: Ms,
-    ) -> Option<Ready> {
+        received_at: Ms,
+    ) -> Option<ValidRequest> {
         let classes = self.classes.load();
         let (class, tally) = classes.find(class)?;
-        let item = fields.item.read(None, hex)?;
+        let item = fields.item.parse_or(None, parse_hex_id)?;
         let object = u64::from_str_radix(item.as_str(), 16).ok()?;
-        let number = fields.part.read(Some(0), |v| digits(v).filter(|n| *n <= MOST_PARTS))?;
-        let part = fields.part.read(Token::new(b"0"), Token::new)?;
-        // No client waits longer than its class allows; twice that leaves room for how it is told.
-        let allow = fields.allow_ms.read(None, |v| figure(v, 2.0 * class.deadline))?;
-        let group = fields.group.read(Some(0), digits::<u8>)?;
-        let size_kb = fields.size_kb.read(Some(0.0), |v| figure(v, MOST_KB))?;
-        let client_digest = fields.seen.read(Some(None), |tag| Token::new(tag).map(Some))?;
-        let idempotency_key = fields.unique.read(Some(None), |key| Token::new(key).map(Some))?;
+        let part_number = fields.part.parse_or(Some(0), |v| parse_digits(v).filter(|n| *n <= MAX_PART))?;
+        let part = fields.part.parse_or(Token::new(b"0"), Token::new)?;
+        // No client waits longer than its class allows; the factor of two leaves a margin for how the client states it.
+        let allow_ms = fields.allow_ms.parse_or(None, |v| parse_decimal(v, 2.0 * class.deadline))?;
+        let group = fields.group.parse_or(Some(0), parse_digits::<u8>)?;
+        let size_kb = fields.size_kb.parse_or(Some(0.0), |v| parse_decimal(v, MAX_SIZE_KB))?;
+        let client_digest = fields.seen.parse_or(Some(None), |tag| Token::new(tag).map(Some))?;
+        let idempotency_key = fields.unique.parse_or(Some(None), |key| Token::new(key).map(Some))?;
         let shop = match fields.shop {
             Field::Absent => ShopId::of(""),
-            Field::Once(name) => ShopId::of(Token::new(name)?.as_str()),
-            Field::Doubled => return None,
+            Field::Single(name) => ShopId::of(Token::new(name)?.as_str()),
+            Field::Duplicate => return None,
         };
-        let job = fields.job.read(None, hex)?;
+        let job = fields.job.parse_or(None, parse_hex_id)?;
         let (class_name, once, write) = (class.name.clone(), class.once, class.write);
         let tally = tally.clone();
         let forwarded = ForwardedRequest {
@@ -188,22 +194,22 @@
             _held: held,
             tally,
         };
-        (allow > 0.0).then(|| Ready {
+        (allow_ms > 0.0).then(|| ValidRequest {
             class: class.id,
             object: ObjectId(object),
-            part: number,
+            part: part_number,
             group: PurgeGroup(group.into()),
             size_kb: Some(size_kb).filter(|kb| *kb > 0.0),
             shop,
-            deadline: came + allow - ANSWER_BEFORE.min(allow / 10.0),
+            deadline: received_at + allow_ms - ANSWER_MARGIN_MS.min(allow_ms / 10.0),
             forwarded: Arc::new(forwarded),
         })
     }
 
-    /// Hands a request in; the responder answers by itself if the engine is gone.
-    pub fn hand_in(&self, ready: Ready, responder: Responder) -> RequestId {
-        let id = RequestId(self.next.fetch_add(1, Relaxed));
-        let Ready { class, object, part, group, size_kb, shop, deadline, forwarded } = ready;
+    /// Passes a request to the engine. If the engine is gone, dropping the responder answers the request.
+    pub fn submit(&self, request: ValidRequest, responder: Responder) -> RequestId {
+        let id = RequestId(self.next_id.fetch_add(1, Relaxed));
+        let ValidRequest { class, object, part, group, size_kb, shop, deadline, forwarded } = request;
         let responder = responder.counted(self.counters.figures.taken(forwarded.tally.clone()));
         let incoming =
             Incoming { id, class, object, part, group, size_kb, shop, deadline, forwarded, responder };
@@ -212,8 +218,8 @@
     }
 }
 
-/// A request that can be handed in.
-pub struct Ready {
+/// A validated request, ready to be submitted.
+pub struct ValidRequest {
     class: ClassId,
     object: ObjectId,
     part: u32,
--- a/front/src/server/sockets.rs
+++ b/front/src/server/sockets.rs
@@ -1,9 +1,9 @@
-//! The sockets of the platform's clients, all served by one thread as they become ready (epoll).
+//! The sockets of the platform clients, all served by one thread as they become ready (epoll).
 //!
-//! Threads of their own, as connections have them elsewhere in this program, can't keep the limits here. A front
-//! is held to its part of a core by being stopped and continued, and each time every thread wakes: with two for
-//! each of 190 connections, most of them idle, 82 of 100 parts of the CPU went there, and the front stayed at its
-//! limit over work that takes a quarter of it.
+//! Threads per connection, as elsewhere in this program, would break the CPU limit here. A front is held to its share
+//! of a core by being stopped and continued, and every thread wakes each time: with two threads for each of 190 mostly
+//! idle connections, 82 % of the CPU time went into these wake-ups, and the front stayed at its limit with work that
+//! needs a quarter of it.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::io::{self, ErrorKind, Read, Write};
@@ -27,86 +27,89 @@
 use crate::server::acceptor::Acceptor;
 use crate::server::clients::{Admitted, Clients, Protocol};
 use crate::server::drain_report::DrainReport;
-use crate::server::fastcgi::{Broken, Conversation};
+use crate::server::fastcgi::{ConnectionError, FastCgiSession};
 use crate::server::mailbox::{Delivery, Mailbox};
 use crate::server::Intake;
 
-/// What the two sources that are no client's connection are called.
-const LISTENER: u64 = 0;
-const WAKER: u64 = 1;
-const FIRST: u64 = 2;
-/// Taken in at one turn from one connection: others have theirs in between.
-const READ: usize = 64 * 1024;
-/// The longest wait for an event: idle connections are closed so soon after a pause.
-const TURN: Duration = Duration::from_millis(100);
-/// Connections accepted at one turn.
-const ACCEPT: usize = 32;
-/// A client with so much to take in brings nothing new.
-const QUEUE: usize = 64;
-/// A connection that we have ended is read from until its client ends it too, so long and so far, and so many at a
-/// time: a close over unread bytes resets it, and takes the last answers with it.
-const LINGER: (Duration, usize) = (Duration::from_secs(1), 1 << 20);
-const LINGERING: usize = 64;
-
+/// Event tokens of the listener and of the wake-up signal; client connections use the tokens from the third on.
+const LISTENER_TOKEN: u64 = 0;
+const WAKE_TOKEN: u64 = 1;
+const FIRST_CONNECTION_TOKEN: u64 = 2;
+/// Bytes read from one connection per turn, so that the others get theirs in between.
+const READ_BYTES: usize = 64 * 1024;
+/// The maximum time between two turns: the delay within which idle connections are closed after a pause.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Connections accepted per turn.
+const MAX_ACCEPTS_PER_TURN: usize = 32;
+/// A client with this many unwritten chunks is not read from.
+const MAX_QUEUED_CHUNKS: usize = 64;
+/// A connection that we have shut down is read from until its client closes it too, within these limits of time and
+/// bytes; this many at a time. Closing a socket with unread bytes resets it and loses the last answers.
+const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
+const MAX_LINGER_BYTES: usize = 1 << 20;
+const MAX_LINGERING: usize = 64;
+
+/// An open connection of a client.
 struct Connection {
     admitted: Admitted,
-    /// Its client has broken the protocol: nothing is read from it any more, and it ends once what it asked before has
-    /// been answered.
-    broken: Option<Broken>,
-    conversation: Conversation,
-    /// How much of the first chunk has been written.
-    written: usize,
+    /// Set once the client has violated the protocol: nothing is read from it any more, and the connection ends once
+    /// its earlier requests have been answered.
+    violation: Option<ConnectionError>,
+    session: FastCgiSession,
+    /// Bytes of the first chunk that have been written.
+    written_bytes: usize,
     interest: EventFlags,
 }
 
 /// Why a connection ends.
 enum End {
-    /// By the client.
-    Left,
-    /// By us, after the last answer.
-    Done,
-    Broken(Broken),
+    /// The client closed it.
+    ClosedByClient,
+    /// This side closes it after the last answer.
+    Finished,
+    Failed(ConnectionError),
 }
 
 impl From<io::Error> for End {
     fn from(_: io::Error) -> End {
-        End::Left
+        End::ClosedByClient
     }
 }
 
-impl From<Broken> for End {
-    fn from(why: Broken) -> End {
-        match why {
-            Broken::Closed => End::Done,
-            why => End::Broken(why),
+impl From<ConnectionError> for End {
+    fn from(error: ConnectionError) -> End {
+        match error {
+            ConnectionError::Closed => End::Finished,
+            error => End::Failed(error),
         }
     }
 }
 
-/// A connection whose side of ours has ended: what still comes is dropped.
+/// A connection that this side has shut down: its remaining input is discarded.
 struct Lingering {
     admitted: Admitted,
-    until: Instant,
-    left: usize,
+    deadline: Instant,
+    bytes_left: usize,
 }
 
 impl Lingering {
-    /// False once it is over.
-    fn drop_rest(&mut self, buffer: &mut [u8]) -> bool {
+    /// Discards input; false once the connection is finished.
+    fn discard_input(&mut self, buffer: &mut [u8]) -> bool {
         let mut stream: &TcpStream = self.admitted.client.stream();
         match stream.read(buffer) {
             Ok(0) => false,
-            Ok(got) => {
-                self.left = self.left.saturating_sub(got);
-                self.left > 0
+            Ok(length) => {
+                self.bytes_left = self.bytes_left.saturating_sub(length);
+                self.bytes_left > 0
             }
-            Err(why) => waits(&why),
+            Err(error) => is_transient(&error),
         }
     }
 }
 
-fn waits(why: &io::Error) -> bool {
-    matches!(why.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted)
+/// Whether the operation can be retried once the socket is ready again.
+fn is_transient(error: &io::Error) -> bool {
+    matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted)
 }
 
 impl Connection {
@@ -114,84 +117,85 @@
         self.admitted.client.stream()
     }
 
-    fn ready(&mut self, what: EventFlags, buffer: &mut [u8]) -> Result<(), End> {
-        // A connection that has ended says so whether or not it is to be read from.
-        let ended = what.intersects(EventFlags::HUP | EventFlags::ERR);
-        if (ended || what.contains(EventFlags::IN)) && self.broken.is_none() {
+    /// Handles events of the socket.
+    fn handle_events(&mut self, events: EventFlags, buffer: &mut [u8]) -> Result<(), End> {
+        // A closed connection reports it whether or not its input is wanted.
+        let ended = events.intersects(EventFlags::HUP | EventFlags::ERR);
+        if (ended || events.contains(EventFlags::IN)) && self.violation.is_none() {
             match self.stream().read(buffer) {
-                Ok(0) => return Err(End::Left),
-                Ok(got) => {
-                    if let Err(why) = self.conversation.take(&buffer[..got]) {
-                        self.conversation.stop_taking();
-                        self.broken = Some(why);
+                Ok(0) => return Err(End::ClosedByClient),
+                Ok(length) => {
+                    if let Err(error) = self.session.receive(&buffer[..length]) {
+                        self.session.stop_receiving();
+                        self.violation = Some(error);
                     }
                 }
-                Err(why) if waits(&why) => {}
-                Err(_) => return Err(End::Left),
+                Err(error) if is_transient(&error) => {}
+                Err(_) => return Err(End::ClosedByClient),
             }
         } else if ended {
-            return Err(End::Left);
+            return Err(End::ClosedByClient);
         }
         self.flush()
     }
 
-    /// Writes as much as the client takes in now.
+    /// Writes as much as the client accepts now.
     fn flush(&mut self) -> Result<(), End> {
         let client = self.admitted.client.clone();
         let mut stream: &TcpStream = client.stream();
-        while let Some(chunk) = self.conversation.out.front() {
-            if self.written == 0 {
-                client.takes();
+        while let Some(chunk) = self.session.output.front() {
+            if self.written_bytes == 0 {
+                client.start_write();
             }
-            match stream.write(&chunk.bytes[self.written..]) {
-                Ok(0) => return Err(End::Left),
-                Ok(some) => self.written += some,
-                Err(why) if waits(&why) => break,
-                Err(why) => return Err(why.into()),
+            match stream.write(&chunk.bytes[self.written_bytes..]) {
+                Ok(0) => return Err(End::ClosedByClient),
+                Ok(length) => self.written_bytes += length,
+                Err(error) if is_transient(&error) => break,
+                Err(error) => return Err(error.into()),
             }
-            if self.written == chunk.bytes.len() {
+            if self.written_bytes == chunk.bytes.len() {
                 let last = chunk.last;
-                client.took();
-                self.conversation.out.pop_front();
-                self.written = 0;
-                // A client sent away has had its last answer once nothing else is open or owed: decided as the
-                // answer goes out, not when it was queued, since more may have come meanwhile.
+                client.finish_write();
+                self.session.output.pop_front();
+                self.written_bytes = 0;
+                // A connection that the drain closes ends once nothing is open or owed. This is checked as the answer
+                // goes out, not when it was queued, since more input may have arrived meanwhile.
                 if last || self.drain_action() == ConnectionAction::Close {
-                    return Err(End::Done);
+                    return Err(End::Finished);
                 }
             }
         }
-        match self.broken.take_if(|_| !self.conversation.owes()) {
-            Some(why) => Err(why.into()),
+        match self.violation.take_if(|_| !self.session.owes_answer()) {
+            Some(error) => Err(error.into()),
             None => Ok(()),
         }
     }
 
-    /// What the drain wants done with the connection now.
+    /// What the drain prescribes for the connection now.
     fn drain_action(&self) -> ConnectionAction {
         if !self.mode().sends_away() {
             return ConnectionAction::Keep;
         }
         let phase = self.mode().drain_phase(clock::uptime());
-        phase.connection_action(self.conversation.activity())
+        phase.connection_action(self.session.activity())
     }
 
     fn mode(&self) -> &Mode {
-        self.conversation.mode()
+        self.session.mode()
     }
 
-    /// What the connection waits for now.
+    /// The events that the connection needs now.
     fn wanted_interest(&self) -> EventFlags {
-        let waiting = self.conversation.out.len();
-        let reads = waiting < QUEUE && self.broken.is_none();
-        let mut interest = if reads { EventFlags::IN } else { EventFlags::empty() };
+        let waiting = self.session.output.len();
+        let wants_input = waiting < MAX_QUEUED_CHUNKS && self.violation.is_none();
+        let mut interest = if wants_input { EventFlags::IN } else { EventFlags::empty() };
         if waiting > 0 {
             interest |= EventFlags::OUT;
         }
         interest
     }
 
-    /// Has the event loop tell what the connection waits for, if that has changed.
+    /// Registers the events that the connection needs, if they have changed.
     fn register_interest(&mut self, epoll: &OwnedFd, id: u64) -> rustix::io::Result<()> {
         let wanted = self.wanted_interest();
         if wanted != self.interest {
@@ -202,6 +206,7 @@
     }
 }
 
+/// The event loop and its connections.
 pub struct Sockets {
     epoll: OwnedFd,
     acceptor: Acceptor,
@@ -209,46 +214,50 @@
     clients: Clients,
     intake: Arc<Intake>,
     connections: HashMap<u64, Connection>,
-    /// Connections whose registration could not be changed; it is tried again at the next turn.
+    /// Connections whose registration failed; it is retried at the next turn.
     unregistered: BTreeSet<u64>,
     lingering: BTreeMap<u64, Lingering>,
-    next: u64,
+    next_token: u64,
     mailbox: Mailbox,
     deliveries: Receiver<Delivery>,
     finished: Sender<()>,
     drain_report: DrainReport,
 }
 
-/// How the end of the program reaches the thread of the sockets.
-pub struct Finish {
+/// Lets the main thread finish the thread that serves the sockets.
+pub struct ShutdownHandle {
     mailbox: Mailbox,
     finished: Receiver<()>,
 }
 
-impl Finish {
-    /// Has what came late answered, and all connections closed; waits for that so long at most. True if it is done.
-    pub fn within(&self, mode: &Mode, most: Duration) -> bool {
+impl ShutdownHandle {
+    /// Answers late requests and closes all connections, waiting at most `timeout`. True if all are closed.
+    pub fn close_within(&self, mode: &Mode, timeout: Duration) -> bool {
         mode.finish();
         self.mailbox.wake();
-        self.finished.recv_timeout(most).is_ok()
+        self.finished.recv_timeout(timeout).is_ok()
     }
 }
 
 impl Sockets {
+    /// Registers the listener and the mailbox with a new event loop.
+    ///
+    /// # Errors
+    /// If the system refuses one of them.
     pub fn new(
         listener: TcpListener,
         origin: Origin,
         clients: Clients,
         intake: Arc<Intake>,
-    ) -> io::Result<(Sockets, Finish)> {
+    ) -> io::Result<(Sockets, ShutdownHandle)> {
         let create = || epoll::create(epoll::CreateFlags::CLOEXEC).map_err(io::Error::from);
         let epoll = retry_at_start("clients' epoll", create)?;
         let (mailbox, deliveries) = retry_at_start("clients' mailbox", Mailbox::new)?;
-        let acceptor = Acceptor::register(&epoll, listener, LISTENER)?;
-        epoll::add(&epoll, mailbox.bell(), EventData::new_u64(WAKER), EventFlags::IN)?;
+        let acceptor = Acceptor::register(&epoll, listener, LISTENER_TOKEN)?;
+        epoll::add(&epoll, mailbox.wake_signal(), EventData::new_u64(WAKE_TOKEN), EventFlags::IN)?;
         let connections = HashMap::new();
-        let (finished, told) = bounded(1);
-        let finish = Finish { mailbox: mailbox.clone(), finished: told };
+        let (finished, finished_receiver) = bounded(1);
+        let finish = ShutdownHandle { mailbox: mailbox.clone(), finished: finished_receiver };
         let sockets = Sockets {
             epoll,
             acceptor,
@@ -258,7 +267,7 @@
             connections,
             unregistered: BTreeSet::new(),
             lingering: BTreeMap::new(),
-            next: FIRST,
+            next_token: FIRST_CONNECTION_TOKEN,
             mailbox,
             deliveries,
             finished,
@@ -267,53 +276,55 @@
         Ok((sockets, finish))
     }
 
-    /// Serves for as long as the program runs.
+    /// Serves until the process exits.
     pub fn run(mut self) {
         let mut events: Vec<epoll::Event> = Vec::with_capacity(256);
-        let mut buffer = vec![0; READ];
+        let mut buffer = vec![0; READ_BYTES];
         loop {
             events.clear();
-            let turn = self.acceptor.wait_at_most(TURN);
-            if epoll::wait(&self.epoll, spare_capacity(&mut events), Some(&turn)).is_err() {
-                // It is interrupted each time the process is stopped and goes on. What has been left is delivered all the same.
+            let timeout = self.acceptor.poll_timeout(POLL_INTERVAL);
+            if epoll::wait(&self.epoll, spare_capacity(&mut events), Some(&timeout)).is_err() {
+                // The wait is interrupted each time the process is stopped and continued. Queued deliveries are still
+                // processed.
                 events.clear();
             }
-            self.serve(&events, &mut buffer);
+            self.run_turn(&events, &mut buffer);
         }
     }
 
-    /// One turn: what has come is taken in first, and only then idle connections are closed.
-    fn serve(&mut self, events: &[epoll::Event], buffer: &mut [u8]) {
+    /// One turn: received input is processed first, and idle connections are closed only then.
+    fn run_turn(&mut self, events: &[epoll::Event], buffer: &mut [u8]) {
         self.acceptor.resume(&self.epoll);
         for id in std::mem::take(&mut self.unregistered) {
-            self.turn(id, Connection::flush);
+            self.run_action(id, Connection::flush);
         }
         for event in events {
             match event.data.u64() {
-                LISTENER => self.accept(),
-                WAKER => self.mailbox.heard(),
+                LISTENER_TOKEN => self.accept(),
+                WAKE_TOKEN => self.mailbox.reset_wake_signal(),
                 id if self.lingering.contains_key(&id) => {
-                    if self.lingering.get_mut(&id).is_some_and(|l| !l.drop_rest(buffer)) {
+                    if self.lingering.get_mut(&id).is_some_and(|l| !l.discard_input(buffer)) {
                         self.lingering.remove(&id);
                     }
                 }
-                id => self.turn(id, |connection| connection.ready(event.flags, buffer)),
+                id => self.run_action(id, |connection| connection.handle_events(event.flags, buffer)),
             }
         }
         while let Ok(delivery) = self.deliveries.try_recv() {
-            self.turn(delivery.connection, |connection| {
-                connection.conversation.answer(&delivery);
+            self.run_action(delivery.connection, |connection| {
+                connection.session.queue_answer(&delivery);
                 connection.flush()
             });
         }
         self.drain_connections();
         let now = Instant::now();
-        self.lingering.retain(|_, l| now < l.until);
-        self.finish();
+        self.lingering.retain(|_, l| now < l.deadline);
+        self.finish_shutdown();
     }
 
-    /// The program ends: all that has come is answered and all connections are closed, theirs too.
-    fn finish(&mut self) {
+    /// When the process is about to exit: accepts what is still pending, and reports once all connections are closed on
+    /// both sides.
+    fn finish_shutdown(&mut self) {
         if !self.intake.counters.mode.is_finishing() {
             return;
         }
@@ -325,30 +336,31 @@
         }
     }
 
-    /// Ends our side and drops what still comes. An open request is given up by this: its client is owed nothing more, or
-    /// has broken the protocol.
+    /// Shuts down our side and discards the remaining input. An open request is abandoned by this: its client is owed
+    /// nothing more, or has violated the protocol.
     fn linger(&mut self, id: u64, connection: Connection) {
-        let Connection { admitted, conversation, .. } = connection;
-        drop(conversation);
+        let Connection { admitted, session, .. } = connection;
+        drop(session);
         admitted.client.close_idle();
         let data = EventData::new_u64(id);
         if epoll::modify(&self.epoll, admitted.client.stream(), data, EventFlags::IN).is_err() {
             return;
         }
-        if self.lingering.len() >= LINGERING {
+        if self.lingering.len() >= MAX_LINGERING {
             self.lingering.pop_first();
         }
-        let lingering = Lingering { admitted, until: Instant::now() + LINGER.0, left: LINGER.1 };
+        let lingering =
+            Lingering { admitted, deadline: Instant::now() + LINGER_TIMEOUT, bytes_left: MAX_LINGER_BYTES };
         self.lingering.insert(id, lingering);
     }
 
-    /// Paused or ending, connections are released as the drain wants it; ending on a listener that the next process shares
-    /// too, no connection is taken any more: those that wait are the next process's.
+    /// Applies the drain to each connection while paused or ending. A process that ends on a listener shared with its
+    /// successor accepts no more connections: pending ones are left to the successor.
     fn drain_connections(&mut self) {
         let mode = &self.intake.counters.mode;
         let phase = mode.drain_phase(clock::uptime());
         let connections = self.connections.values();
-        let held = connections.map(|c| (c.conversation.open_requests(), c.conversation.owes()));
+        let held = connections.map(|c| (c.session.open_request_count(), c.session.owes_answer()));
         self.drain_report.observe(phase, held);
         if !phase.is_draining() {
             return;
@@ -357,14 +369,14 @@
             self.acceptor.close(&self.epoll);
         }
         let actions =
-            self.connections.iter().map(|(id, c)| (*id, phase.connection_action(c.conversation.activity())));
+            self.connections.iter().map(|(id, c)| (*id, phase.connection_action(c.session.activity())));
         for (id, action) in
             actions.filter(|(_, action)| *action != ConnectionAction::Keep).collect::<Vec<_>>()
         {
             match action {
                 ConnectionAction::Keep => {}
-                ConnectionAction::RejectPartialRequests => self.turn(id, |connection| {
-                    connection.conversation.reject_partial_requests();
+                ConnectionAction::RejectPartialRequests => self.run_action(id, |connection| {
+                    connection.session.reject_partial_requests();
                     connection.flush()
                 }),
                 ConnectionAction::Close => self.close_drained(id, phase),
@@ -372,6 +384,7 @@
         }
     }
 
+    /// Closes a connection that the drain releases.
     fn close_drained(&mut self, id: u64, phase: DrainPhase) {
         if let Some(connection) = self.connections.remove(&id) {
             tracing::debug!(connection = id, phase = phase.name(), "drain: connection closed");
@@ -380,38 +393,39 @@
         }
     }
 
-    /// Lets a connection do something. An end, and a panic, is its own and nobody else's.
-    fn turn(&mut self, id: u64, act: impl FnOnce(&mut Connection) -> Result<(), End>) {
+    /// Runs an action on a connection. An error or a panic ends this connection only.
+    fn run_action(&mut self, id: u64, action: impl FnOnce(&mut Connection) -> Result<(), End>) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
-        let acted = catch_unwind(AssertUnwindSafe(|| act(connection)));
-        let mut ours = true;
-        let why = match acted {
+        let result = catch_unwind(AssertUnwindSafe(|| action(connection)));
+        let mut closed_by_us = true;
+        let error = match result {
             Ok(Ok(())) => {
                 if connection.register_interest(&self.epoll, id).is_err() {
                     self.unregistered.insert(id);
                 }
                 return;
             }
-            Ok(Err(End::Done)) => None,
-            Ok(Err(End::Left)) => {
-                ours = false;
+            Ok(Err(End::Finished)) => None,
+            Ok(Err(End::ClosedByClient)) => {
+                closed_by_us = false;
                 None
             }
-            Ok(Err(End::Broken(why))) => Some(why.to_string()),
+            Ok(Err(End::Failed(error))) => Some(error.to_string()),
             Err(_) => Some("a panic".into()),
         };
-        if let Some(why) = why {
+        if let Some(error) = error {
             self.intake.counters.broken_clients.fetch_add(1, Relaxed);
-            self.intake.log.say(|| format!("client connection: closed over {why}"));
+            self.intake.log.say(|| format!("client connection: closed over {error}"));
         }
         let Some(connection) = self.connections.remove(&id) else { return };
-        if ours {
+        if closed_by_us {
             self.linger(id, connection);
         }
     }
 
+    /// Accepts pending connections.
     fn accept(&mut self) {
-        for _ in 0..ACCEPT {
+        for _ in 0..MAX_ACCEPTS_PER_TURN {
             let stream = match self.acceptor.accept(&self.epoll) {
                 Ok(Some((stream, _))) => stream,
                 Ok(None) => return,
@@ -422,21 +436,22 @@
             };
             let Some(admitted) = self.clients.admit(stream, Protocol::FastCgi) else { continue };
             self.intake.counters.client_connections.fetch_add(1, Relaxed);
-            if let Err(why) = self.take_in(admitted) {
-                self.intake.log.say(|| format!("accept: {why}"));
+            if let Err(error) = self.register(admitted) {
+                self.intake.log.say(|| format!("accept: {error}"));
             }
         }
     }
 
-    fn take_in(&mut self, admitted: Admitted) -> io::Result<()> {
-        let (id, client) = (self.next, admitted.client.clone());
-        self.next += 1;
+    /// Registers an admitted connection with the event loop.
+    fn register(&mut self, admitted: Admitted) -> io::Result<()> {
+        let (id, client) = (self.next_token, admitted.client.clone());
+        self.next_token += 1;
         client.stream().set_nonblocking(true)?;
         client.stream().set_nodelay(true)?;
         epoll::add(&self.epoll, client.stream(), EventData::new_u64(id), EventFlags::IN)?;
-        let conversation = Conversation::new(id, client, self.intake.clone(), self.mailbox.clone());
-        let (broken, written, interest) = (None, 0, EventFlags::IN);
-        let connection = Connection { admitted, broken, conversation, written, interest };
+        let session = FastCgiSession::new(id, client, self.intake.clone(), self.mailbox.clone());
+        let (violation, written_bytes, interest) = (None, 0, EventFlags::IN);
+        let connection = Connection { admitted, violation, session, written_bytes, interest };
         self.connections.insert(id, connection);
         Ok(())
     }
--- a/front/src/server/sockets/tests.rs
+++ b/front/src/server/sockets/tests.rs
@@ -1,5 +1,5 @@
-//! The clients' connections turn by turn, on real sockets: the test decides what lies in a socket when a turn begins, so
-//! that each crossing is forced and none is waited for.
+//! Client connections on real sockets, driven turn by turn. The test decides what is in a socket when a turn begins, so
+//! that every race is forced instead of waited for.
 
 use crossbeam_channel::unbounded;
 use elmtide::ClassId;
@@ -12,11 +12,12 @@
 use crate::memory::budget::Budget;
 use crate::memory::counters::Counters;
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
+/// A front without an engine: the test answers the requests.
 struct Front {
     sockets: Sockets,
-    finish: Finish,
+    finish: ShutdownHandle,
     inputs: Receiver<Input>,
     buffer: Vec<u8>,
 }
@@ -56,14 +57,14 @@
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let (sockets, finish) =
             Sockets::new(listener, Origin::Bound, Clients::new(200), intake).expect("sockets");
-        Front { sockets, finish, inputs, buffer: vec![0; READ] }
+        Front { sockets, finish, inputs, buffer: vec![0; READ_BYTES] }
     }
 
     fn mode(&self) -> &Mode {
         &self.sockets.intake.counters.mode
     }
 
-    /// All changes of what the connections wait for fail from now on, until the set that is returned is put back.
+    /// Makes every change of registered events fail until the returned epoll instance is put back.
     fn break_epoll(&mut self) -> OwnedFd {
         let no_epoll = std::fs::File::open("/dev/null").unwrap();
         std::mem::replace(&mut self.sockets.epoll, no_epoll.into())
@@ -71,61 +72,62 @@
 
     fn connect(&self) -> TcpStream {
         let stream = TcpStream::connect(self.sockets.acceptor.local_addr().unwrap()).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         stream
     }
 
-    /// How many sockets had something to say.
-    fn turn(&mut self) -> usize {
+    /// Runs one turn; gives the number of sockets that had events.
+    fn run_turn(&mut self) -> usize {
         let mut events: Vec<epoll::Event> = Vec::with_capacity(64);
-        let at_once = Timespec { tv_sec: 0, tv_nsec: 2_000_000 };
-        epoll::wait(&self.sockets.epoll, spare_capacity(&mut events), Some(&at_once)).unwrap();
-        self.sockets.serve(&events, &mut self.buffer);
+        let timeout = Timespec { tv_sec: 0, tv_nsec: 2_000_000 };
+        epoll::wait(&self.sockets.epoll, spare_capacity(&mut events), Some(&timeout)).unwrap();
+        self.sockets.run_turn(&events, &mut self.buffer);
         events.len()
     }
 
-    /// Turns until something has come of it.
-    fn until<T>(&mut self, mut come: impl FnMut(&mut Front) -> Option<T>) -> T {
-        let until = Instant::now() + PATIENCE;
+    /// Runs turns until the condition yields a value.
+    fn until<T>(&mut self, mut condition: impl FnMut(&mut Front) -> Option<T>) -> T {
+        let until = Instant::now() + TEST_TIMEOUT;
         loop {
-            if let Some(come) = come(self) {
-                return come;
+            if let Some(value) = condition(self) {
+                return value;
             }
-            assert!(Instant::now() < until, "it never came to that");
-            self.turn();
+            assert!(Instant::now() < until, "the condition was not met in time");
+            self.run_turn();
         }
     }
 
-    fn taken(&mut self) -> Responder {
+    fn next_request(&mut self) -> Responder {
         self.until(|front| match front.inputs.try_recv() {
             Ok(Input::Request(incoming)) => Some(incoming.responder),
             _ => None,
         })
     }
 
-    /// A client that has had one request answered and rests.
-    fn resting(&mut self) -> TcpStream {
+    /// A client that has had one request answered and is idle.
+    fn idle_client(&mut self) -> TcpStream {
         let mut client = self.connect();
         client.write_all(&request("00000000000000a1", true)).unwrap();
-        self.taken().answer(Answer::Failed);
-        self.turn();
-        assert!(answered(&mut client).contains("502"));
+        self.next_request().answer(Answer::Failed);
+        self.run_turn();
+        assert!(read_answer(&mut client).contains("502"));
         client
     }
 
-    /// What has been written is in the socket on this side.
-    fn unread(&mut self, bytes: usize) {
-        let until = Instant::now() + PATIENCE;
-        let lies = |c: &Connection| rustix::io::ioctl_fionread(c.stream()).is_ok_and(|n| n >= bytes as u64);
-        while !self.sockets.connections.values().any(lies) {
-            assert!(Instant::now() < until, "it never came");
+    /// Waits until this many written bytes are in a socket of the front, unread.
+    fn wait_for_unread(&mut self, bytes: usize) {
+        let until = Instant::now() + TEST_TIMEOUT;
+        let has_unread =
+            |c: &Connection| rustix::io::ioctl_fionread(c.stream()).is_ok_and(|n| n >= bytes as u64);
+        while !self.sockets.connections.values().any(has_unread) {
+            assert!(Instant::now() < until, "the bytes did not arrive in time");
             std::thread::yield_now();
         }
     }
 }
 
-/// One whole answer.
-fn answered(client: &mut TcpStream) -> String {
+/// Reads one complete answer.
+fn read_answer(client: &mut TcpStream) -> String {
     let mut text = Vec::new();
     loop {
         let mut head = [0; 8];
@@ -139,86 +141,88 @@
     }
 }
 
-/// SIGTERM, and a request that lies unread on a resting connection: it has been taken by a front, and is answered.
+/// SIGTERM arrives while a request is unread on an idle connection: the request was accepted by the front and must be
+/// answered.
 #[test]
-fn a_request_that_lies_unread_when_clients_are_sent_away_is_taken() {
+fn a_request_unread_at_the_start_of_a_drain_is_answered() {
     let mut front = Front::start();
-    let mut client = front.resting();
+    let mut client = front.idle_client();
     let second = request("00000000000000a2", true);
     client.write_all(&second).unwrap();
-    front.unread(second.len());
+    front.wait_for_unread(second.len());
     front.mode().end(clock::uptime(), Duration::from_millis(900));
     front.sockets.drain_connections();
-    front.taken().answer(Answer::Failed);
+    front.next_request().answer(Answer::Failed);
     front.until(|front| front.sockets.connections.is_empty().then_some(()));
-    assert!(answered(&mut client).contains("502"));
-    assert_eq!(client.read(&mut [0]).unwrap(), 0, "and then it is closed");
+    assert!(read_answer(&mut client).contains("502"));
+    assert_eq!(client.read(&mut [0]).unwrap(), 0, "then the connection is closed");
 }
 
-/// The answer to the one request goes out while the next lies unread: the connection stays until that is answered too.
+/// An answer is written while the next request is unread: the connection stays until that is answered too.
 #[test]
-fn an_answer_written_over_an_unread_request_does_not_close_the_connection() {
+fn an_answer_written_before_an_unread_request_does_not_close_the_connection() {
     let mut front = Front::start();
-    let mut client = front.resting();
+    let mut client = front.idle_client();
     client.write_all(&request("00000000000000a2", true)).unwrap();
-    let first = front.taken();
+    let first = front.next_request();
     let next = request("00000000000000a3", true);
     front.mode().end(clock::uptime(), Duration::from_millis(900));
     client.write_all(&next).unwrap();
-    front.unread(next.len());
+    front.wait_for_unread(next.len());
     first.answer(Answer::Failed);
     // The answer is written before anything is read.
-    let delivery = front.sockets.deliveries.recv_timeout(PATIENCE).unwrap();
-    front.sockets.turn(delivery.connection, |connection| {
-        connection.conversation.answer(&delivery);
+    let delivery = front.sockets.deliveries.recv_timeout(TEST_TIMEOUT).unwrap();
+    front.sockets.run_action(delivery.connection, |connection| {
+        connection.session.queue_answer(&delivery);
         connection.flush()
     });
-    // Both have number 1 on their connection, and the first is over.
-    front.taken().answer(Answer::Failed);
+    // Both requests have id 1 on their connection; the first is finished.
+    front.next_request().answer(Answer::Failed);
     front.until(|front| front.sockets.connections.is_empty().then_some(()));
-    assert!(answered(&mut client).contains("502") && answered(&mut client).contains("502"));
+    assert!(read_answer(&mut client).contains("502") && read_answer(&mut client).contains("502"));
 }
 
-/// The last answer is larger than its client takes in at once, and more lies unread that nobody will read: no reset takes
-/// the rest of the answer away.
+/// The last answer is larger than the client reads at once, and unread input remains that nobody will read: the rest of
+/// the answer must not be lost to a reset.
 #[test]
-fn a_close_over_unread_bytes_does_not_cut_the_answer_off() {
+fn a_close_with_unread_bytes_does_not_truncate_the_answer() {
     let mut front = Front::start();
     let mut client = front.connect();
     client.write_all(&request("00000000000000a1", false)).unwrap();
-    let asked = front.taken();
+    let responder = front.next_request();
     let rest = vec![1; 10_000];
     client.write_all(&rest).unwrap();
-    front.unread(rest.len());
+    front.wait_for_unread(rest.len());
     let bytes = vec![7; 3_000_000];
-    asked.answer(Answer::Served(ServedCopy { bytes, digest: None, client_has_it: false }));
-    let delivery = front.sockets.deliveries.recv_timeout(PATIENCE).unwrap();
-    front.sockets.turn(delivery.connection, |connection| {
-        connection.conversation.answer(&delivery);
+    responder.answer(Answer::Served(ServedCopy { bytes, digest: None, client_has_it: false }));
+    let delivery = front.sockets.deliveries.recv_timeout(TEST_TIMEOUT).unwrap();
+    front.sockets.run_action(delivery.connection, |connection| {
+        connection.session.queue_answer(&delivery);
         connection.flush()
     });
-    // Only writes from here on: what lies unread stays so until our side has ended.
-    let mut came = 0;
+    // Only writes from here on: unread input stays unread until our side is shut down.
+    let mut length = 0;
     let mut chunk = vec![0; 1 << 16];
     while !front.sockets.connections.is_empty() {
-        came += client.read(&mut chunk).expect("more of the answer");
-        front.sockets.turn(delivery.connection, Connection::flush);
+        length += client.read(&mut chunk).expect("more of the answer");
+        front.sockets.run_action(delivery.connection, Connection::flush);
     }
     loop {
         match client.read(&mut chunk).expect("the rest, not a reset") {
             0 => break,
-            more => came += more,
+            read => length += read,
         }
-        front.turn();
+        front.run_turn();
     }
-    assert!(came > 3_000_000, "{came}");
+    assert!(length > 3_000_000, "{length}");
     drop(client);
     front.until(|front| front.sockets.lingering.is_empty().then_some(()));
 }
 
-/// What breaks the protocol ends its connection; what was said to it before still gets there, whatever else it sent.
+/// A protocol violation ends the connection, but the answer that was given before it still reaches the client, whatever
+/// else the client sent.
 #[test]
-fn the_answer_before_a_breach_gets_there() {
+fn an_answer_before_a_protocol_violation_is_delivered() {
     let mut front = Front::start();
     let mut client = front.connect();
     let health = [
@@ -233,88 +237,94 @@
     client.write_all(&[health, garbage].concat()).unwrap();
     front.until(|front| (!front.sockets.lingering.is_empty()).then_some(()));
     for _ in 0..10 {
-        front.turn();
+        front.run_turn();
     }
-    assert!(answered(&mut client).contains("200"));
+    assert!(read_answer(&mut client).contains("200"));
     assert_eq!(client.read(&mut [0]).expect("an end, not a reset"), 0);
 }
 
-/// A request comes whole after our side of its connection has ended: it is not sent on, and its client sees the end.
+/// A request completes after our side of its connection was shut down: it is not forwarded, and its client sees the end
+/// of the connection.
 #[test]
-fn a_request_read_after_the_close_is_not_sent_on() {
+fn a_request_read_after_the_close_is_not_forwarded() {
     let mut front = Front::start();
-    let mut client = front.resting();
+    let mut client = front.idle_client();
     let (_, connection) = front.sockets.connections.iter().next().unwrap();
     assert!(connection.admitted.client.close_idle());
     let second = request("00000000000000a2", true);
     client.write_all(&second).unwrap();
-    front.unread(second.len());
+    front.wait_for_unread(second.len());
     front.until(|front| front.sockets.connections.is_empty().then_some(()));
     let taken = front.inputs.try_iter().filter(|i| matches!(i, Input::Request(_))).count();
     assert_eq!(taken, 0);
     assert_eq!(client.read(&mut [0]).unwrap(), 0);
-    assert_eq!(front.sockets.intake.counters.broken_clients.load(Relaxed), 0, "no fault of the client's");
+    assert_eq!(front.sockets.intake.counters.broken_clients.load(Relaxed), 0, "not the fault of the client");
 }
 
-/// A connection with a request open is not closed as an idle one.
+/// A connection with an open request is not closed as idle.
 #[test]
-fn an_open_request_keeps_its_connection() {
+fn an_open_request_keeps_its_connection_open() {
     let mut front = Front::start();
     let mut client = front.connect();
     client.write_all(&request("00000000000000a1", true)).unwrap();
-    let asked = front.taken();
+    let responder = front.next_request();
     let (_, connection) = front.sockets.connections.iter().next().unwrap();
     assert!(!connection.admitted.client.close_idle());
-    asked.answer(Answer::Failed);
-    front.turn();
-    assert!(answered(&mut client).contains("502"));
+    responder.answer(Answer::Failed);
+    front.run_turn();
+    assert!(read_answer(&mut client).contains("502"));
 }
 
-/// The end of the program, with a connection that nobody has accepted yet and a request on it: it is answered before the
-/// end is reported.
+/// At shutdown, a connection that is not accepted yet has a request on it: the request is answered before the shutdown
+/// is reported as finished.
 #[test]
-fn at_the_end_what_waits_to_be_accepted_is_answered() {
+fn at_shutdown_a_connection_pending_in_the_listener_is_answered() {
     let mut front = Front::start();
-    let mut late = front.connect();
-    late.write_all(&request("00000000000000a1", true)).unwrap();
+    let mut late_client = front.connect();
+    late_client.write_all(&request("00000000000000a1", true)).unwrap();
     front.mode().end(clock::uptime(), Duration::from_millis(900));
     front.mode().finish();
-    front.sockets.finish();
-    assert!(front.finish.finished.try_recv().is_err(), "one waits to be accepted");
-    front.taken().answer(Answer::Failed);
+    front.sockets.finish_shutdown();
+    assert!(front.finish.finished.try_recv().is_err(), "a connection is pending");
+    front.next_request().answer(Answer::Failed);
     front.until(|front| front.sockets.connections.is_empty().then_some(()));
-    assert!(answered(&mut late).contains("502"));
-    assert_eq!(late.read(&mut [0]).unwrap(), 0);
-    assert!(front.finish.finished.try_recv().is_err(), "the client's end is still open");
-    drop(late);
+    assert!(read_answer(&mut late_client).contains("502"));
+    assert_eq!(late_client.read(&mut [0]).unwrap(), 0);
+    assert!(front.finish.finished.try_recv().is_err(), "the client has not closed its side");
+    drop(late_client);
     front.until(|front| front.finish.finished.try_recv().ok());
 }
 
-/// Some clients rest until the front ends them, without having brought anything.
+/// Some clients stay connected without having sent anything, until the front closes the connection.
 #[test]
-fn at_the_end_a_client_that_has_brought_nothing_is_closed_too() {
+fn at_shutdown_a_client_without_requests_is_closed() {
     let mut front = Front::start();
-    let mut rests = front.connect();
+    let mut idle = front.connect();
     front.until(|front| (!front.sockets.connections.is_empty()).then_some(()));
     front.mode().end(clock::uptime(), Duration::from_millis(900));
-    front.turn();
-    assert_eq!(front.sockets.connections.len(), 1, "it may have come just before readiness said no");
+    front.run_turn();
+    assert_eq!(
+        front.sockets.connections.len(),
+        1,
+        "it may have connected just before readiness turned negative"
+    );
     front.mode().finish();
-    front.turn();
-    assert_eq!(rests.read(&mut [0]).unwrap(), 0);
-    drop(rests);
+    front.run_turn();
+    assert_eq!(idle.read(&mut [0]).unwrap(), 0);
+    drop(idle);
     front.until(|front| front.finish.finished.try_recv().ok());
 }
 
-/// Clients that break the protocol by hundreds and never close: what is kept for their sake is bounded.
+/// Hundreds of clients violate the protocol and never close their connections: the connections kept for their sake are
+/// bounded.
 #[test]
-fn connections_that_linger_are_bounded() {
+fn lingering_connections_are_bounded() {
     let mut front = Front::start();
-    let clients: Vec<TcpStream> = (0..3 * LINGERING)
+    let clients: Vec<TcpStream> = (0..3 * MAX_LINGERING)
         .map(|_| {
             let mut client = front.connect();
             client.write_all(&[0xFF; 64]).unwrap();
-            front.turn();
+            front.run_turn();
             client
         })
         .collect();
@@ -323,115 +333,112 @@
         (counted >= clients.len() as u64).then_some(())
     };
     front.until(broken);
-    assert!(front.sockets.lingering.len() <= LINGERING);
+    assert!(front.sockets.lingering.len() <= MAX_LINGERING);
     drop(clients);
     front.until(|front| front.sockets.lingering.is_empty().then_some(()));
 }
 
-/// A request is taken, and what its client sends behind it breaks the protocol: nothing more is read, the request has its answer,
-/// however long that takes, and only then the connection ends, without a reset, and is counted once.
+/// A request is accepted, and what its client sends after it violates the protocol: nothing more is read, the request
+/// is answered, however long that takes, and only then the connection ends, without a reset, and is counted once.
 #[test]
-fn a_breach_behind_a_request_does_not_take_its_answer() {
+fn a_protocol_violation_after_a_request_does_not_lose_its_answer() {
     let mut front = Front::start();
     let mut client = front.connect();
     let garbage = vec![0xFF; 300_000];
     client.write_all(&[request("00000000000000a1", true), garbage].concat()).unwrap();
-    let asked = front.taken();
-    front.unread(1);
-    assert_eq!((0..20).map(|_| front.turn()).sum::<usize>(), 0, "what lies unread keeps nobody busy");
+    let responder = front.next_request();
+    front.wait_for_unread(1);
+    assert_eq!((0..20).map(|_| front.run_turn()).sum::<usize>(), 0, "unread input does not wake the loop");
     let broken = |front: &Front| front.sockets.intake.counters.broken_clients.load(Relaxed);
     assert_eq!((front.sockets.connections.len(), broken(&front)), (1, 0), "it is owed an answer");
     let left = front.inputs.try_iter().filter(|i| matches!(i, Input::Abandoned(_))).count();
-    assert_eq!(left, 0, "nor is the request given up");
-    asked.answer(Answer::Failed);
+    assert_eq!(left, 0, "the request is not abandoned");
+    responder.answer(Answer::Failed);
     front.until(|front| front.sockets.connections.is_empty().then_some(()));
     assert_eq!(broken(&front), 1);
-    assert!(answered(&mut client).contains("502"));
+    assert!(read_answer(&mut client).contains("502"));
     for _ in 0..100 {
-        front.turn();
+        front.run_turn();
     }
     assert_eq!(client.read(&mut [0]).expect("an end, not a reset"), 0);
 }
 
-/// A client that has broken the protocol and goes while it is owed an answer: its request is given up.
+/// A client violates the protocol and disconnects while it is owed an answer: its request is abandoned.
 #[test]
-fn a_client_that_goes_after_a_breach_is_not_waited_for() {
+fn a_client_that_disconnects_after_a_violation_is_not_waited_for() {
     let mut front = Front::start();
     let mut client = front.connect();
     client.write_all(&[request("00000000000000a1", true), vec![0xFF; 64]].concat()).unwrap();
-    let asked = front.taken();
-    front.turn();
+    let responder = front.next_request();
+    front.run_turn();
     drop(client);
-    asked.answer(Answer::Failed);
+    responder.answer(Answer::Failed);
     front.until(|front| {
         (front.sockets.connections.is_empty() && front.sockets.lingering.is_empty()).then_some(())
     });
 }
 
-/// How long the front has been draining.
+/// Starts a drain that has been running for this long.
 fn drain_for(front: &Front, elapsed: Duration) {
     assert!(front.mode().pause(clock::uptime() - elapsed));
 }
 
 const SCHEDULE: DrainSchedule = DrainSchedule::RELEASE_CLIENTS;
 
-/// A request that lies unread when new ones are rejected is still read, and has its answer before the connection is closed.
+/// A request that is unread when the drain starts to reject is still read, and answered before the connection is
+/// closed.
 #[test]
 fn a_request_unread_when_the_drain_rejects_is_answered_before_the_close() {
     let mut front = Front::start();
-    let mut client = front.resting();
+    let mut client = front.idle_client();
     let second = request("00000000000000a2", true);
     client.write_all(&second).unwrap();
-    front.unread(second.len());
+    front.wait_for_unread(second.len());
     drain_for(&front, SCHEDULE.reject_after);
     front.sockets.drain_connections();
-    assert_eq!(front.sockets.connections.len(), 1, "not closed over what lies unread");
-    front.taken().answer(Answer::Refused { wait_ms: Some(7) });
+    assert_eq!(front.sockets.connections.len(), 1, "not closed with unread input");
+    front.next_request().answer(Answer::Refused { wait_ms: Some(7) });
     front.until(|front| front.sockets.connections.is_empty().then_some(()));
-    assert!(answered(&mut client).contains("X-Wait-Ms: 7"));
-    assert_eq!(client.read(&mut [0]).unwrap(), 0, "and then it is closed");
+    assert!(read_answer(&mut client).contains("X-Wait-Ms: 7"));
+    assert_eq!(client.read(&mut [0]).unwrap(), 0, "then the connection is closed");
 }
 
-/// A new connection has its first request served as long as requests are admitted, and is closed unasked afterwards.
+/// The first request of a new connection is served as long as requests are admitted; afterwards such a connection is
+/// closed.
 #[test]
-fn a_connection_that_has_brought_nothing_is_closed_once_requests_are_rejected() {
+fn a_connection_without_requests_is_closed_once_requests_are_rejected() {
     let mut front = Front::start();
     let mut client = front.connect();
     front.until(|front| (front.sockets.connections.len() == 1).then_some(()));
     drain_for(&front, Duration::ZERO);
-    front.turn();
-    assert_eq!(front.sockets.connections.len(), 1, "its first request may be on its way");
+    front.run_turn();
+    assert_eq!(front.sockets.connections.len(), 1, "its first request may be in flight");
     assert!(front.mode().resume(clock::uptime()));
     drain_for(&front, SCHEDULE.reject_after);
-    front.turn();
+    front.run_turn();
     assert_eq!(client.read(&mut [0]).unwrap(), 0);
 }
 
-/// At the cut-off a half-sent request is rejected by the protocol's status, the rest of it is dropped, and the connection ends
-/// without a reset.
+/// At the cut-off a partially received request is rejected with the status of the protocol, the rest of it is
+/// discarded, and the connection ends without a reset.
 #[test]
-fn a_half_sent_request_is_rejected_at_the_cut_off() {
+fn a_partial_request_is_rejected_at_the_cut_off() {
     let mut front = Front::start();
-    let mut client = front.resting();
+    let mut client = front.idle_client();
     let whole = request("00000000000000a2", true);
-    let (begun, rest) = whole.split_at(whole.len() - 12);
-    client.write_all(begun).unwrap();
+    let (sent_part, rest) = whole.split_at(whole.len() - 12);
+    client.write_all(sent_part).unwrap();
     front.until(|front| {
-        front
-            .sockets
-            .connections
-            .values()
-            .any(|c| c.conversation.activity().partial_requests == 1)
-            .then_some(())
+        front.sockets.connections.values().any(|c| c.session.activity().partial_requests == 1).then_some(())
     });
     drain_for(&front, SCHEDULE.reject_after);
-    front.turn();
-    assert_eq!(front.sockets.connections.len(), 1, "the rest may come");
+    front.run_turn();
+    assert_eq!(front.sockets.connections.len(), 1, "the rest may still arrive");
     assert!(front.mode().resume(clock::uptime()));
     drain_for(&front, SCHEDULE.cut_off_after);
     front.until(|front| front.sockets.connections.is_empty().then_some(()));
     client.write_all(rest).unwrap();
-    front.turn();
+    front.run_turn();
     let mut end = [0; 16];
     client.read_exact(&mut end).expect("an answer, not a reset");
     const PROTOCOL_STATUS: usize = 12;
@@ -441,11 +448,11 @@
     assert_eq!(taken, 0);
 }
 
-/// A client that begins one request after the other is released in the end, whatever it brings.
+/// A client that keeps starting requests without completing them is released in the end, whatever it sends.
 #[test]
-fn a_client_that_never_ends_what_it_begins_is_released() {
+fn a_client_that_never_completes_its_requests_is_released() {
     let mut front = Front::start();
-    let mut client = front.resting();
+    let mut client = front.idle_client();
     let whole = request("00000000000000a2", true);
     client.write_all(&whole[..20]).unwrap();
     front.until(|front| {
@@ -453,24 +460,22 @@
             .sockets
             .connections
             .values()
-            .any(|c| {
-                !c.conversation.activity().has_unread_input && c.conversation.activity().has_partial_input
-            })
+            .any(|c| !c.session.activity().has_unread_input && c.session.activity().has_partial_input)
             .then_some(())
     });
     drain_for(&front, SCHEDULE.cut_off_after);
-    front.turn();
+    front.run_turn();
     client.write_all(&[1]).unwrap();
-    front.turn();
+    front.run_turn();
     assert!(front.mode().resume(clock::uptime()));
     drain_for(&front, SCHEDULE.release_after);
-    front.turn();
+    front.run_turn();
     assert!(front.sockets.connections.is_empty());
 }
 
-/// A client takes a large answer in slowly: the rejection of its next request goes ahead of the answers that wait.
+/// A client reads a large answer slowly: the rejection of its next request is queued ahead of the answers that wait.
 #[test]
-fn a_rejection_goes_ahead_of_answers_that_have_not_begun_to_be_written() {
+fn a_rejection_is_written_before_answers_not_yet_started() {
     let mut front = Front::start();
     let mut client = front.connect();
     let ids = [1u8, 2, 3];
@@ -479,7 +484,7 @@
         number_records(&mut bytes, id);
         client.write_all(&bytes).unwrap();
     }
-    let (first, second, third) = (front.taken(), front.taken(), front.taken());
+    let (first, second, third) = (front.next_request(), front.next_request(), front.next_request());
     let copy =
         || Answer::Served(ServedCopy { bytes: vec![7; 8_000_000], digest: None, client_has_it: false });
     first.answer(copy());
@@ -491,7 +496,7 @@
     assert_eq!(order, [1, 3, 2]);
 }
 
-/// Gives all records of a request this number.
+/// Sets the request id of all records of a request.
 fn number_records(bytes: &mut [u8], id: u8) {
     let mut at = 0;
     while at < bytes.len() {
@@ -500,7 +505,7 @@
     }
 }
 
-/// Reads on a thread of its own; the numbers of the requests in the order in which they end.
+/// Reads on its own thread; gives the ids of the requests in the order in which they end.
 fn read_ends(mut client: TcpStream) -> Receiver<u8> {
     let (to, ends) = unbounded();
     std::thread::spawn(move || {
@@ -515,24 +520,24 @@
     ends
 }
 
-/// `epoll_ctl` fails for a while under an open request whose answer is longer than the socket takes: the connection stays, and
-/// the answer is whole once the calls succeed again.
+/// `epoll_ctl` fails for some time while an answer is longer than the socket buffer: the connection stays, and the
+/// answer is complete once the calls succeed again.
 #[test]
-fn a_failing_registration_loses_no_answer() {
+fn a_failing_registration_does_not_lose_the_answer() {
     const LENGTH: usize = 8 << 20;
     let mut front = Front::start();
     let mut client = front.connect();
     client.write_all(&request("00000000000000a1", true)).unwrap();
-    let responder = front.taken();
+    let responder = front.next_request();
     let epoll = front.break_epoll();
     let copy = ServedCopy { bytes: vec![b'x'; LENGTH], digest: None, client_has_it: false };
     responder.answer(Answer::Served(copy));
-    // The thread of the sockets takes the delivery, and can't ask to be told when the socket takes more.
-    front.sockets.serve(&[], &mut [0; READ]);
-    assert_eq!(front.sockets.connections.len(), 1, "it stays");
+    // The thread receives the delivery, and cannot register for writability.
+    front.sockets.run_turn(&[], &mut [0; READ_BYTES]);
+    assert_eq!(front.sockets.connections.len(), 1, "the connection stays");
     assert_eq!(front.sockets.unregistered.len(), 1);
-    front.sockets.serve(&[], &mut [0; READ]);
-    assert_eq!(front.sockets.unregistered.len(), 1, "and is tried again");
+    front.sockets.run_turn(&[], &mut [0; READ_BYTES]);
+    assert_eq!(front.sockets.unregistered.len(), 1, "the registration is retried");
     front.sockets.epoll = epoll;
     let reader = std::thread::spawn(move || {
         let mut length = 0;
