--- a/front/src/wire/bus.rs
+++ b/front/src/wire/bus.rs
@@ -2,6 +2,7 @@
 
 use serde_json::Value;
 
+/// A server as the bus announces it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Server {
     pub id: String,
@@ -14,6 +15,7 @@
     pub started_ms: f64,
 }
 
+/// The announced state of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
     Active,
@@ -21,6 +23,7 @@
     Left,
 }
 
+/// One event of the bus.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     Topology { full: bool, servers: Vec<Server> },
@@ -28,47 +31,47 @@
     BanTag { tag: u16, ts: f64 },
 }
 
-/// What one read gives: the number of the last event, and the events with their numbers.
+/// The result of one read: the number of the last event, and the events with their numbers.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Batch {
     pub offset: u64,
     pub events: Vec<(u64, Event)>,
 }
 
-fn text(at: &Value, key: &str) -> Result<String, String> {
-    at[key].as_str().map(str::to_owned).ok_or_else(|| format!("{key} is missing or no text"))
+fn string_field(value: &Value, key: &str) -> Result<String, String> {
+    value[key].as_str().map(str::to_owned).ok_or_else(|| format!("{key} is missing or no text"))
 }
 
-fn number(at: &Value, key: &str) -> Result<f64, String> {
-    at[key].as_f64().ok_or_else(|| format!("{key} is missing or no number"))
+fn number_field(value: &Value, key: &str) -> Result<f64, String> {
+    value[key].as_f64().ok_or_else(|| format!("{key} is missing or no number"))
 }
 
-fn server(at: &Value) -> Result<Server, String> {
+fn parse_server(value: &Value) -> Result<Server, String> {
     Ok(Server {
-        id: text(at, "id")?,
-        addr: text(at, "addr")?,
-        zone: text(at, "zone")?,
-        kind: text(at, "kind")?,
-        cell: at["cell"].as_u64().and_then(|c| u16::try_from(c).ok()).unwrap_or(0),
-        state: match at["state"].as_str() {
+        id: string_field(value, "id")?,
+        addr: string_field(value, "addr")?,
+        zone: string_field(value, "zone")?,
+        kind: string_field(value, "kind")?,
+        cell: value["cell"].as_u64().and_then(|c| u16::try_from(c).ok()).unwrap_or(0),
+        state: match value["state"].as_str() {
             Some("active") => State::Active,
             Some("leaving") => State::Leaving,
             Some("left") => State::Left,
             other => return Err(format!("state is {other:?}")),
         },
-        weight: at["weight"].as_f64().unwrap_or(0.0),
-        started_ms: at["started_ms"].as_f64().unwrap_or(0.0),
+        weight: value["weight"].as_f64().unwrap_or(0.0),
+        started_ms: value["started_ms"].as_f64().unwrap_or(0.0),
     })
 }
 
-fn event(at: &Value) -> Result<Event, String> {
-    if let Some(topology) = at.get("topology") {
+fn parse_event(value: &Value) -> Result<Event, String> {
+    if let Some(topology) = value.get("topology") {
         let servers = topology["servers"].as_array().ok_or("servers is missing or no list")?;
-        let servers = servers.iter().map(server).collect::<Result<_, _>>()?;
+        let servers = servers.iter().map(parse_server).collect::<Result<_, _>>()?;
         return Ok(Event::Topology { full: topology["full"].as_bool().unwrap_or(false), servers });
     }
-    let ban = at.get("ban").ok_or("neither topology nor ban")?;
-    let ts = number(ban, "ts")?;
+    let ban = value.get("ban").ok_or("neither topology nor ban")?;
+    let ts = number_field(ban, "ts")?;
     if let Some(url) = ban["url"].as_str() {
         let url = u64::from_str_radix(url, 16).map_err(|_| format!("url is {url:?}"))?;
         return Ok(Event::BanUrl { url, ts });
@@ -77,22 +80,22 @@
     Ok(Event::BanTag { tag, ts })
 }
 
-/// Reads a batch. An event that can't be used is given as its number and what is wrong with it: it must not
-/// keep the ones behind it from being heard.
-pub fn batch(at: &Value) -> Result<(Batch, Vec<(u64, String)>), String> {
-    let offset = at["offset"].as_u64().ok_or("offset is missing or no number")?;
-    let list = at["batch"].as_array().ok_or("batch is missing or no list")?;
-    let (mut events, mut bad) = (Vec::new(), Vec::new());
-    for item in list {
+/// Parses a batch. An invalid event is reported by its number and error, so that it does not block the events after it.
+pub fn parse_batch(value: &Value) -> Result<(Batch, Vec<(u64, String)>), String> {
+    let offset = value["offset"].as_u64().ok_or("offset is missing or no number")?;
+    let items = value["batch"].as_array().ok_or("batch is missing or no list")?;
+    let (mut events, mut invalid) = (Vec::new(), Vec::new());
+    for item in items {
         let number = item["offset"].as_u64().ok_or("an event has no offset")?;
-        match event(item) {
+        match parse_event(item) {
             Ok(event) => events.push((number, event)),
-            Err(why) => bad.push((number, why)),
+            Err(error) => invalid.push((number, error)),
         }
     }
-    Ok((Batch { offset, events }, bad))
+    Ok((Batch { offset, events }, invalid))
 }
 
-pub fn read_request(host: &str, from: u64, hold_ms: u64) -> String {
+/// The HTTP request that reads events from number `from` on; the bus holds it up to `hold_ms` while there are none.
+pub fn encode_read_request(host: &str, from: u64, hold_ms: u64) -> String {
     format!("GET /bus/read?from={from}&hold={hold_ms} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n")
 }
--- a/front/src/wire/fastcgi.rs
+++ b/front/src/wire/fastcgi.rs
@@ -1,5 +1,6 @@
-//! FastCGI 1.0 records, as far as a Responder needs them.
+//! FastCGI 1.0 records, to the extent that a Responder needs them.
 
+/// Record types.
 pub const BEGIN_REQUEST: u8 = 1;
 pub const ABORT_REQUEST: u8 = 2;
 pub const END_REQUEST: u8 = 3;
@@ -11,12 +12,13 @@
 pub const GET_VALUES_RESULT: u8 = 10;
 pub const UNKNOWN_TYPE: u8 = 11;
 
+/// The only supported role, and the flag that keeps the connection open after a request.
 pub const RESPONDER: u16 = 1;
 pub const KEEP_CONN: u8 = 1;
 
-const HEADER: usize = 8;
-/// The most that one record carries here: a multiple of 8, so that no record needs padding but the last.
-const MOST: usize = 65_528;
+const HEADER_BYTES: usize = 8;
+/// The maximum content of one record here: a multiple of 8, so that only the last record needs padding.
+const MAX_CONTENT_BYTES: usize = 65_528;
 
 /// The protocol status of an END_REQUEST.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -26,6 +28,7 @@
     UnknownRole = 3,
 }
 
+/// One record without its padding.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Record<'a> {
     pub kind: u8,
@@ -33,6 +36,7 @@
     pub content: &'a [u8],
 }
 
+/// Why a record is invalid.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Malformed {
     Version(u8),
@@ -40,37 +44,37 @@
     NameValue,
 }
 
-/// The first record of the bytes and how long it is; `None` while it has not come whole.
-pub fn record(bytes: &[u8]) -> Result<Option<(Record<'_>, usize)>, Malformed> {
+/// Parses the first record and gives its length in bytes; `None` while it is incomplete.
+pub fn parse_record(bytes: &[u8]) -> Result<Option<(Record<'_>, usize)>, Malformed> {
     let Some(&version) = bytes.first() else { return Ok(None) };
     if version != 1 {
         return Err(Malformed::Version(version));
     }
-    if bytes.len() < HEADER {
+    if bytes.len() < HEADER_BYTES {
         return Ok(None);
     }
     let length = usize::from(u16::from_be_bytes([bytes[4], bytes[5]]));
-    let whole = HEADER + length + usize::from(bytes[6]);
-    if bytes.len() < whole {
+    let total = HEADER_BYTES + length + usize::from(bytes[6]);
+    if bytes.len() < total {
         return Ok(None);
     }
     let id = u16::from_be_bytes([bytes[2], bytes[3]]);
-    Ok(Some((Record { kind: bytes[1], id, content: &bytes[HEADER..HEADER + length] }, whole)))
+    Ok(Some((Record { kind: bytes[1], id, content: &bytes[HEADER_BYTES..HEADER_BYTES + length] }, total)))
 }
 
-/// Role and flags of a BEGIN_REQUEST.
-pub fn begin_request(content: &[u8]) -> Result<(u16, u8), Malformed> {
+/// Parses a BEGIN_REQUEST into its role and flags.
+pub fn parse_begin_request(content: &[u8]) -> Result<(u16, u8), Malformed> {
     match content {
         [high, low, flags, _, _, _, _, _] => Ok((u16::from_be_bytes([*high, *low]), *flags)),
         _ => Err(Malformed::BeginRequest),
     }
 }
 
-/// Walks the name-value pairs of a PARAMS or GET_VALUES stream.
+/// Iterates over the name-value pairs of a PARAMS or GET_VALUES stream.
 pub struct Pairs<'a>(pub &'a [u8]);
 
 impl<'a> Pairs<'a> {
-    fn length(&mut self) -> Option<usize> {
+    fn next_length(&mut self) -> Option<usize> {
         let (length, used) = match *self.0 {
             [short, ..] if short < 0x80 => (usize::from(short), 1),
             [a, b, c, d, ..] => (u32::from_be_bytes([a & 0x7F, b, c, d]) as usize, 4),
@@ -80,8 +84,8 @@
         Some(length)
     }
 
-    fn pair(&mut self) -> Option<(&'a [u8], &'a [u8])> {
-        let (name, value) = (self.length()?, self.length()?);
+    fn next_pair(&mut self) -> Option<(&'a [u8], &'a [u8])> {
+        let (name, value) = (self.next_length()?, self.next_length()?);
         let rest = self.0;
         let (name, rest) = rest.split_at_checked(name)?;
         let (value, rest) = rest.split_at_checked(value)?;
@@ -97,7 +101,7 @@
         if self.0.is_empty() {
             return None;
         }
-        let pair = self.pair();
+        let pair = self.next_pair();
         if pair.is_none() {
             self.0 = &[];
         }
@@ -105,44 +109,46 @@
     }
 }
 
-fn header(out: &mut Vec<u8>, kind: u8, id: u16, length: usize, padding: usize) {
+fn write_header(out: &mut Vec<u8>, kind: u8, id: u16, length: usize, padding: usize) {
     let ([id_high, id_low], [high, low]) = (id.to_be_bytes(), (length as u16).to_be_bytes());
     out.extend([1, kind, id_high, id_low, high, low, padding as u8, 0]);
 }
 
-/// One record, padded to a multiple of eight bytes.
-pub fn put(out: &mut Vec<u8>, kind: u8, id: u16, content: &[u8]) {
+/// Writes one record, padded to a multiple of eight bytes.
+pub fn write_record(out: &mut Vec<u8>, kind: u8, id: u16, content: &[u8]) {
     let padding = content.len().next_multiple_of(8) - content.len();
-    header(out, kind, id, content.len(), padding);
+    write_header(out, kind, id, content.len(), padding);
     out.extend_from_slice(content);
     out.extend_from_slice(&[0; 8][..padding]);
 }
 
-/// A whole STDOUT stream, head and body, split over as many records as it needs, and its end.
-pub fn stdout(out: &mut Vec<u8>, id: u16, head: &[u8], body: &[u8]) {
-    out.reserve(head.len() + body.len() + (body.len() / MOST + 4) * 16);
-    put(out, STDOUT, id, head);
-    body.chunks(MOST).for_each(|part| put(out, STDOUT, id, part));
-    put(out, STDOUT, id, &[]);
+/// Writes a complete STDOUT stream, head and body, split over as many records as it needs, and its end.
+pub fn write_stdout(out: &mut Vec<u8>, id: u16, head: &[u8], body: &[u8]) {
+    out.reserve(head.len() + body.len() + (body.len() / MAX_CONTENT_BYTES + 4) * 16);
+    write_record(out, STDOUT, id, head);
+    body.chunks(MAX_CONTENT_BYTES).for_each(|part| write_record(out, STDOUT, id, part));
+    write_record(out, STDOUT, id, &[]);
 }
 
-pub fn end_request(out: &mut Vec<u8>, id: u16, app_status: u32, status: ProtocolStatus) {
+/// Writes an END_REQUEST.
+pub fn write_end_request(out: &mut Vec<u8>, id: u16, app_status: u32, status: ProtocolStatus) {
     let [a, b, c, d] = app_status.to_be_bytes();
-    put(out, END_REQUEST, id, &[a, b, c, d, status as u8, 0, 0, 0]);
+    write_record(out, END_REQUEST, id, &[a, b, c, d, status as u8, 0, 0, 0]);
 }
 
-/// The answer to GET_VALUES: those of the variables asked for that are known.
-pub fn values(out: &mut Vec<u8>, asked: &[u8], known: &[(&str, &str)]) {
+/// Writes the answer to GET_VALUES: those of the requested variables that are known.
+pub fn write_values(out: &mut Vec<u8>, requested: &[u8], known: &[(&str, &str)]) {
     let mut content = Vec::new();
-    for (name, _) in Pairs(asked).map_while(Result::ok) {
+    for (name, _) in Pairs(requested).map_while(Result::ok) {
         for (known, value) in known.iter().filter(|(known, _)| known.as_bytes() == name) {
             content.extend([known.len() as u8, value.len() as u8]);
             content.extend(known.bytes().chain(value.bytes()));
         }
     }
-    put(out, GET_VALUES_RESULT, 0, &content);
+    write_record(out, GET_VALUES_RESULT, 0, &content);
 }
 
-pub fn unknown_type(out: &mut Vec<u8>, kind: u8) {
-    put(out, UNKNOWN_TYPE, 0, &[kind, 0, 0, 0, 0, 0, 0, 0]);
+/// Writes an UNKNOWN_TYPE for a management record of an unknown type.
+pub fn write_unknown_type(out: &mut Vec<u8>, kind: u8) {
+    write_record(out, UNKNOWN_TYPE, 0, &[kind, 0, 0, 0, 0, 0, 0, 0]);
 }
--- a/front/src/wire/lines.rs
+++ b/front/src/wire/lines.rs
@@ -1,13 +1,14 @@
-//! The lines between a front and a cache node: words ending in CR LF, then as many bytes as the last word says.
+//! The protocol between a front and a cache node: a line of words that ends in CR LF, then as many bytes as its last
+//! word says.
 
 use std::fmt::Write as _;
 
-/// The longest line taken: far above any that the protocol makes.
-pub const LONGEST_LINE: usize = 4096;
-/// The most bytes of one answer: an object has at most 240,000.
-pub const LONGEST_BODY: usize = 262_144;
+/// The maximum length of an accepted line, far above any that the protocol produces.
+pub const MAX_LINE_BYTES: usize = 4096;
+/// The maximum body of one answer; an object has at most 240,000 bytes.
+pub const MAX_BODY_BYTES: usize = 262_144;
 
-/// A request as it goes to a cache node.
+/// A request to a cache node.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Want<'a> {
     pub id: &'a str,
@@ -23,12 +24,13 @@
     pub through: bool,
     pub update: bool,
     pub got: Option<&'a str>,
-    /// By what a repeat is known.
+    /// The key by which the node recognizes a repetition of the request.
     pub replay: Option<&'a str>,
     pub body: &'a [u8],
 }
 
 impl Want<'_> {
+    /// Encodes the request line and the body.
     pub fn encode(&self) -> Vec<u8> {
         let mut line = String::with_capacity(192);
         // Writing to a string cannot fail.
@@ -68,14 +70,17 @@
     }
 }
 
-pub fn never_mind(id: &str) -> Vec<u8> {
+/// Encodes the cancellation of a request.
+pub fn encode_never_mind(id: &str) -> Vec<u8> {
     format!("never_mind {id}\r\n").into_bytes()
 }
 
-pub fn there(tag: &str) -> Vec<u8> {
+/// Encodes a liveness probe; the node answers it with PONG.
+pub fn encode_there(tag: &str) -> Vec<u8> {
     format!("there {tag}\r\n").into_bytes()
 }
 
+/// The result word of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Word {
     Hit,
@@ -88,7 +93,7 @@
     Sick,
 }
 
-/// The line that begins an answer.
+/// The first line of an answer.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Answer<'a> {
     pub id: &'a str,
@@ -97,25 +102,26 @@
     pub length: usize,
 }
 
+/// Why an answer line is invalid.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Malformed {
-    Text,
-    Words,
-    Word,
+    NotUtf8,
+    WordCount,
+    UnknownWord,
     Length,
 }
 
 impl<'a> Answer<'a> {
-    /// Reads the line, with or without its line end.
+    /// Parses the line, with or without its line end.
     pub fn parse(line: &'a [u8]) -> Result<Answer<'a>, Malformed> {
         let line = line.strip_suffix(b"\n").unwrap_or(line);
         let line = line.strip_suffix(b"\r").unwrap_or(line);
-        let line = std::str::from_utf8(line).map_err(|_| Malformed::Text)?;
+        let line = std::str::from_utf8(line).map_err(|_| Malformed::NotUtf8)?;
         let mut words = line.split(' ');
         let (Some(id), Some(word), Some(fields), Some(length), None) =
             (words.next(), words.next(), words.next(), words.next(), words.next())
         else {
-            return Err(Malformed::Words);
+            return Err(Malformed::WordCount);
         };
         let word = match word {
             "HIT" => Word::Hit,
@@ -126,13 +132,15 @@
             "LATE" => Word::Late,
             "PONG" => Word::Pong,
             "SICK" => Word::Sick,
-            _ => return Err(Malformed::Word),
+            _ => return Err(Malformed::UnknownWord),
         };
-        let digits = !length.is_empty() && length.bytes().all(|b| b.is_ascii_digit());
-        let length = length.parse().ok().filter(|l| digits && *l <= LONGEST_BODY).ok_or(Malformed::Length)?;
+        let is_number = !length.is_empty() && length.bytes().all(|b| b.is_ascii_digit());
+        let length =
+            length.parse().ok().filter(|l| is_number && *l <= MAX_BODY_BYTES).ok_or(Malformed::Length)?;
         Ok(Answer { id, word, fields, length })
     }
 
+    /// The value of a field of the answer.
     pub fn field(&self, name: &str) -> Option<&'a str> {
         let mut fields = self.fields.split(',').filter_map(|field| field.split_once('='));
         fields.find(|(n, _)| *n == name).map(|(_, value)| value)
--- a/front/src/wire/management.rs
+++ b/front/src/wire/management.rs
@@ -1,8 +1,9 @@
-//! The management address's wire: one line a connection, a call in, a reply line out. No I/O.
+//! The protocol of the management address: one call line in and one reply per connection. No I/O.
 
-/// A line is at most so long, its end included.
-pub const LONGEST: usize = 256;
+/// The maximum length of a line, including its line end.
+pub const MAX_LINE_BYTES: usize = 256;
 
+/// A command of the management protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Call {
     Status,
@@ -11,40 +12,41 @@
     Resume,
 }
 
-/// Why a line is no call.
+/// Why a line is not a valid call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Bad {
+pub enum CallError {
     TooLong,
     NotText,
     Unknown,
 }
 
-impl Bad {
+impl CallError {
+    /// The reply line for the error.
     pub fn reply(self) -> &'static str {
         match self {
-            Bad::TooLong => "400 the line is too long\r\n",
-            Bad::NotText => "400 the line is not text\r\n",
-            Bad::Unknown => "400 no such call: STATUS, METRICS, PAUSE or RESUME\r\n",
+            CallError::TooLong => "400 the line is too long\r\n",
+            CallError::NotText => "400 the line is not text\r\n",
+            CallError::Unknown => "400 no such call: STATUS, METRICS, PAUSE or RESUME\r\n",
         }
     }
 }
 
-/// What has come on a connection so far: `None` while its line is not whole.
-pub fn read(came: &[u8]) -> Option<Result<Call, Bad>> {
-    let Some(end) = came.iter().position(|b| *b == b'\n') else {
-        return (came.len() >= LONGEST).then_some(Err(Bad::TooLong));
+/// Parses what has been received on a connection so far: `None` while the line is incomplete.
+pub fn parse_call(received: &[u8]) -> Option<Result<Call, CallError>> {
+    let Some(end) = received.iter().position(|b| *b == b'\n') else {
+        return (received.len() >= MAX_LINE_BYTES).then_some(Err(CallError::TooLong));
     };
-    if end >= LONGEST {
-        return Some(Err(Bad::TooLong));
+    if end >= MAX_LINE_BYTES {
+        return Some(Err(CallError::TooLong));
     }
-    let line = came[..end].strip_suffix(b"\r").unwrap_or(&came[..end]);
-    let Ok(text) = std::str::from_utf8(line) else { return Some(Err(Bad::NotText)) };
+    let line = received[..end].strip_suffix(b"\r").unwrap_or(&received[..end]);
+    let Ok(text) = std::str::from_utf8(line) else { return Some(Err(CallError::NotText)) };
     Some(match text.trim() {
         "STATUS" => Ok(Call::Status),
         "METRICS" => Ok(Call::Metrics),
         "PAUSE" => Ok(Call::Pause),
         "RESUME" => Ok(Call::Resume),
-        _ => Err(Bad::Unknown),
+        _ => Err(CallError::Unknown),
     })
 }
 
@@ -55,32 +57,32 @@
     use super::*;
 
     #[test]
-    fn calls_and_what_is_none() {
-        assert_eq!(read(b"STATUS\n"), Some(Ok(Call::Status)));
-        assert_eq!(read(b"METRICS\r\n"), Some(Ok(Call::Metrics)));
-        assert_eq!(read(b"PAUSE\n"), Some(Ok(Call::Pause)));
-        assert_eq!(read(b"RESUME\n"), Some(Ok(Call::Resume)));
-        assert_eq!(read(b"STAT"), None);
-        assert_eq!(read(b"status\n"), Some(Err(Bad::Unknown)));
-        assert_eq!(read(b"\0STATUS\n"), Some(Err(Bad::Unknown)));
-        assert_eq!(read(b"\xff\xfe\n"), Some(Err(Bad::NotText)));
-        assert_eq!(read(&vec![b'S'; LONGEST]), Some(Err(Bad::TooLong)));
-        assert_eq!(read(&vec![b'S'; 1 << 20]), Some(Err(Bad::TooLong)));
+    fn valid_calls_are_parsed_and_other_lines_rejected() {
+        assert_eq!(parse_call(b"STATUS\n"), Some(Ok(Call::Status)));
+        assert_eq!(parse_call(b"METRICS\r\n"), Some(Ok(Call::Metrics)));
+        assert_eq!(parse_call(b"PAUSE\n"), Some(Ok(Call::Pause)));
+        assert_eq!(parse_call(b"RESUME\n"), Some(Ok(Call::Resume)));
+        assert_eq!(parse_call(b"STAT"), None);
+        assert_eq!(parse_call(b"status\n"), Some(Err(CallError::Unknown)));
+        assert_eq!(parse_call(b"\0STATUS\n"), Some(Err(CallError::Unknown)));
+        assert_eq!(parse_call(b"\xff\xfe\n"), Some(Err(CallError::NotText)));
+        assert_eq!(parse_call(&vec![b'S'; MAX_LINE_BYTES]), Some(Err(CallError::TooLong)));
+        assert_eq!(parse_call(&vec![b'S'; 1 << 20]), Some(Err(CallError::TooLong)));
     }
 
     proptest! {
-        /// A call cut at any byte is not whole until its end has come, and then it is the call.
+        /// A call that is cut at any byte is incomplete until its line end arrives, and is parsed then.
         #[test]
-        fn a_call_cut_anywhere_is_read_only_when_whole(cut in 0usize..8) {
+        fn a_call_cut_at_any_byte_is_parsed_only_when_complete(cut in 0usize..8) {
             let line = b"METRICS\n";
             let cut = cut.min(line.len() - 1);
-            prop_assert_eq!(read(&line[..cut]), None);
-            prop_assert_eq!(read(line), Some(Ok(Call::Metrics)));
+            prop_assert_eq!(parse_call(&line[..cut]), None);
+            prop_assert_eq!(parse_call(line), Some(Ok(Call::Metrics)));
         }
 
         #[test]
-        fn any_bytes_are_read_without_a_panic(bytes in proptest::collection::vec(any::<u8>(), 0..600)) {
-            let _ = read(&bytes);
+        fn arbitrary_bytes_are_parsed_without_a_panic(bytes in proptest::collection::vec(any::<u8>(), 0..600)) {
+            let _ = parse_call(&bytes);
         }
     }
 }
--- a/front/src/wire/mod.rs
+++ b/front/src/wire/mod.rs
@@ -1,4 +1,4 @@
-//! Codecs: bytes to values and back. Nothing here reads a socket, a clock or any state.
+//! Codecs between bytes and values. They read no socket, no clock and no state.
 
 pub mod bus;
 pub mod fastcgi;
