--- a/front/src/client/bus.rs
+++ b/front/src/client/bus.rs
@@ -1,4 +1,4 @@
-//! Follows the event bus: reads on from the last event it has, for as long as the front runs.
+//! Follows the event bus by long polling: reads on from the last event received for as long as the front runs.
 
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind, Read, Write};
@@ -20,41 +20,49 @@
 use crate::wire::bus::{self, Batch, Server, State};
 use crate::wire::http::{self, Body};
 
-/// What is announced counts as told 2 s after the end of the wait that was asked for, heard or not. The wait is
-/// short, so that a bus gone silent is noticed and asked again before that.
-const HOLD_MS: u64 = 1000;
-const SILENCE: Duration = Duration::from_millis(HOLD_MS + 400);
-/// A response that has begun is whole within this: the bus may stop in the middle of an event and stay open.
-const WHOLE: Duration = Duration::from_millis(700);
-const CONNECT: Duration = Duration::from_millis(500);
-const PAUSE: (Duration, Duration) = (Duration::from_millis(50), Duration::from_millis(500));
-/// Parts of a pause that are waited, drawn for each front and failure: what fails all fronts at once must not bring them
-/// back at once.
-const SPREAD: (f64, f64) = (0.4, 1.0);
-/// A response longer than this is none of the bus's.
-const LONGEST: usize = 1 << 20;
+/// The bus counts an announcement as delivered 2 s after the end of the requested wait, whether or not it was
+/// received. The wait is short enough to detect a silent bus and to ask again before that.
+const LONG_POLL_WAIT_MS: u64 = 1000;
+/// Limits the wait for the first byte of a response.
+const FIRST_BYTE_TIMEOUT: Duration = Duration::from_millis(LONG_POLL_WAIT_MS + 400);
+/// Limits the time from the first byte of a response to its end: the bus may stall in the middle of an event and keep
+/// the connection open.
+const FULL_RESPONSE_TIMEOUT: Duration = Duration::from_millis(700);
+/// Limits connecting and each write.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// The delay before the first retry; it doubles with each failure.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(50);
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(500);
+/// Range of the random factor applied to each delay, drawn per front and failure, so that a failure seen by all
+/// fronts does not make them all reconnect at once.
+const MIN_JITTER: f64 = 0.4;
+const MAX_JITTER: f64 = 1.0;
+/// A longer response is rejected as not coming from the bus.
+const MAX_RESPONSE_BYTES: usize = 1 << 20;
 
-/// Places of the settings' names, as the module counts them.
+/// The zone and kind names of the settings; the index of a name is its id in the decision module.
 #[derive(Clone, Debug, Default)]
-pub struct Names {
+pub struct NameTable {
     pub zones: Vec<String>,
     pub kinds: Vec<String>,
 }
 
-impl Names {
+impl NameTable {
+    /// The id of a zone, if the settings have it.
     pub fn zone(&self, name: &str) -> Option<ZoneId> {
-        let place = self.zones.iter().position(|z| z == name)?;
-        u8::try_from(place).ok().map(ZoneId)
+        let index = self.zones.iter().position(|z| z == name)?;
+        u8::try_from(index).ok().map(ZoneId)
     }
 
+    /// The id of a kind, if the settings have it.
     pub fn kind(&self, name: &str) -> Option<KindId> {
-        let place = self.kinds.iter().position(|k| k == name)?;
-        u16::try_from(place).ok().map(KindId)
+        let index = self.kinds.iter().position(|k| k == name)?;
+        u16::try_from(index).ok().map(KindId)
     }
 
     fn listing(&self, server: &Server) -> Result<(Listing, MemberUpdate), String> {
-        let zone = self.zone(&server.zone).ok_or_else(|| format!("zone {:?} is not known", server.zone))?;
-        let kind = self.kind(&server.kind).ok_or_else(|| format!("kind {:?} is not known", server.kind))?;
+        let zone = self.zone(&server.zone).ok_or_else(|| format!("unknown zone {:?}", server.zone))?;
+        let kind = self.kind(&server.kind).ok_or_else(|| format!("unknown kind {:?}", server.kind))?;
         let availability = match server.state {
             State::Active => Availability::Ready,
             State::Leaving => Availability::Draining,
@@ -69,7 +77,7 @@
         Ok((listing, MemberUpdate { member, name: server.id.as_str().into(), addr, started_at, gone }))
     }
 
-    /// What an event of the bus means to the engine.
+    /// Converts a bus event into an input of the engine.
     pub fn input(&self, event: &bus::Event) -> Input {
         match event {
             bus::Event::BanUrl { url, ts } => {
@@ -86,7 +94,7 @@
                             entries.push(listing);
                             members.push(member);
                         }
-                        Err(why) => eprintln!("bus: {} is left out: {why}", server.id),
+                        Err(reason) => eprintln!("bus: ignoring server {}: {reason}", server.id),
                     }
                 }
                 let update = if *full { ListUpdate::Full } else { ListUpdate::Delta };
@@ -98,92 +106,99 @@
     }
 }
 
-/// Hands the events on in their order, each once.
-pub struct Feed {
-    pub names: Names,
+/// Applies bus events in order, each exactly once.
+pub struct BusFollower {
+    pub names: NameTable,
     pub start_times: StartTimes,
-    pub last: u64,
+    /// Number of the last applied event.
+    pub last_event: u64,
     pub inputs: Sender<Input>,
     pub counters: Arc<Counters>,
     pub seed: u64,
 }
 
-/// The pause of a front after so many failures.
-fn spread(pause: Duration, seed: u64, failures: u64) -> Duration {
-    pause.mul_f64(SPREAD.0 + (SPREAD.1 - SPREAD.0) * part(seed, failures))
+/// Returns the randomised delay of a front after this number of failures.
+fn jittered_delay(backoff: Duration, seed: u64, failures: u64) -> Duration {
+    backoff.mul_f64(MIN_JITTER + (MAX_JITTER - MIN_JITTER) * part(seed, failures))
 }
 
-impl Feed {
-    /// False once nobody listens any more.
+impl BusFollower {
+    /// Applies the new events of a batch. Returns false once the engine has stopped.
     pub fn apply(&mut self, read: Result<(Batch, Vec<(u64, String)>), String>) -> Result<bool, String> {
-        let (batch, bad) = read?;
-        for (number, why) in bad {
-            eprintln!("bus: event {number} can't be used: {why}");
+        let (batch, invalid) = read?;
+        for (number, reason) in invalid {
+            eprintln!("bus: event {number} can't be used: {reason}");
         }
         let mut events: BTreeMap<u64, bus::Event> = batch.events.into_iter().collect();
-        // What has been applied already comes again where an answer was lost.
-        let fresh = events.split_off(&(self.last + 1));
-        for (number, event) in fresh {
+        // Events that were already applied are delivered again if a response was lost.
+        let new_events = events.split_off(&(self.last_event + 1));
+        for (number, event) in new_events {
             let mut input = self.names.input(&event);
             if let Input::MembersListed { event, .. } = &mut input {
-                self.start_times.place(event, clock::on_steady_line);
+                self.start_times.convert(event, clock::on_steady_line);
             }
             if self.inputs.send(input).is_err() {
                 return Ok(false);
             }
             self.counters.bus_events.fetch_add(1, Relaxed);
-            self.last = number;
+            self.last_event = number;
         }
-        self.last = self.last.max(batch.offset);
+        self.last_event = self.last_event.max(batch.offset);
         self.counters.bus_heard.store(clock::steady_ms() as u64, Relaxed);
         Ok(true)
     }
 
-    /// Reads on for good, wherever the bus is.
-    pub fn follow(mut self, bus: &Whereabouts) {
-        let mut pause = PAUSE.0;
+    /// Reads events until the engine stops, following changes of the bus address.
+    pub fn follow(mut self, bus: &BusAddress) {
+        let mut backoff = MIN_RETRY_DELAY;
         loop {
-            let addr = bus.now();
-            // A panic must not end the hearing of purges and drains for good.
-            let run = AssertUnwindSafe(|| self.read_on(addr, bus, &mut pause));
-            let failed = match catch_unwind(run).unwrap_or_else(|_| Err("a panic".into())) {
+            let addr = bus.current();
+            // A panic must not permanently stop the delivery of purges and drains.
+            let run = AssertUnwindSafe(|| self.read_events(addr, bus, &mut backoff));
+            let failure = match catch_unwind(run).unwrap_or_else(|_| Err("the reader panicked".into())) {
                 Ok(()) => return,
-                Err(why) => why,
+                Err(reason) => reason,
             };
-            if bus.now() != addr {
-                pause = PAUSE.0;
+            if bus.current() != addr {
+                backoff = MIN_RETRY_DELAY;
                 continue;
             }
             let failures = self.counters.bus_failures.fetch_add(1, Relaxed);
-            let wait = spread(pause, self.seed, failures);
-            eprintln!("bus: {failed}; asking again within {} ms", pause.as_millis());
-            bus.wait(addr, wait);
-            pause = (pause * 2).min(PAUSE.1);
+            let delay = jittered_delay(backoff, self.seed, failures);
+            eprintln!("bus: {failure}; asking again within {} ms", backoff.as_millis());
+            bus.wait_until_moved(addr, delay);
+            backoff = (backoff * 2).min(MAX_RETRY_DELAY);
         }
     }
 
-    fn read_on(&mut self, addr: SocketAddr, bus: &Whereabouts, pause: &mut Duration) -> Result<(), String> {
-        let failed = |what: &'static str| move |e: io::Error| format!("{what}: {e}");
+    fn read_events(
+        &mut self,
+        addr: SocketAddr,
+        bus: &BusAddress,
+        backoff: &mut Duration,
+    ) -> Result<(), String> {
+        let with_context = |what: &'static str| move |e: io::Error| format!("{what}: {e}");
         let host = addr.to_string();
         loop {
-            let stream = TcpStream::connect_timeout(&addr, CONNECT).map_err(failed("connect"))?;
+            let stream =
+                TcpStream::connect_timeout(&addr, CONNECT_TIMEOUT).map_err(with_context("connect"))?;
             let _ = stream.set_nodelay(true);
-            stream.set_write_timeout(Some(CONNECT)).map_err(failed("timeout"))?;
+            stream.set_write_timeout(Some(CONNECT_TIMEOUT)).map_err(with_context("timeout"))?;
             let stream = Arc::new(stream);
-            if !bus.reads(addr, &stream) {
-                return Err("the bus has moved".into());
+            if !bus.register(addr, &stream) {
+                return Err("the address of the bus has changed".into());
             }
-            let mut bytes = Vec::new();
+            let mut buffer = Vec::new();
             loop {
-                let request = bus::encode_read_request(&host, self.last, HOLD_MS);
-                (&*stream).write_all(request.as_bytes()).map_err(failed("write"))?;
-                let (body, keep) = response(&stream, &mut bytes)?;
-                let value = serde_json::from_slice(&body).map_err(|e| format!("no JSON: {e}"))?;
+                let request = bus::encode_read_request(&host, self.last_event, LONG_POLL_WAIT_MS);
+                (&*stream).write_all(request.as_bytes()).map_err(with_context("write"))?;
+                let (body, keep_alive) = read_response(&stream, &mut buffer)?;
+                let value = serde_json::from_slice(&body).map_err(|e| format!("invalid JSON: {e}"))?;
                 if !self.apply(bus::parse_batch(&value))? {
                     return Ok(());
                 }
-                *pause = PAUSE.0;
-                if !keep {
+                *backoff = MIN_RETRY_DELAY;
+                if !keep_alive {
                     break;
                 }
             }
@@ -191,40 +206,42 @@
     }
 }
 
-/// Where the bus is. A new configuration moves it while it is being read.
+/// The address of the bus, which a new configuration may change while the bus is being read.
 #[derive(Debug)]
-pub struct Whereabouts {
+pub struct BusAddress {
     state: Mutex<(SocketAddr, Option<Arc<TcpStream>>)>,
     moved: Condvar,
 }
 
-impl Whereabouts {
-    pub fn new(addr: SocketAddr) -> Whereabouts {
-        Whereabouts { state: Mutex::new((addr, None)), moved: Condvar::new() }
+impl BusAddress {
+    /// Creates the address, with no connection registered.
+    pub fn new(addr: SocketAddr) -> BusAddress {
+        BusAddress { state: Mutex::new((addr, None)), moved: Condvar::new() }
     }
 
     fn state(&self) -> MutexGuard<'_, (SocketAddr, Option<Arc<TcpStream>>)> {
         self.state.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    pub fn now(&self) -> SocketAddr {
+    /// The current address.
+    pub fn current(&self) -> SocketAddr {
         self.state().0
     }
 
-    /// False if the bus has moved since this address was taken.
-    fn reads(&self, addr: SocketAddr, stream: &Arc<TcpStream>) -> bool {
+    /// Registers the connection being read. Returns false if the address has changed since it was obtained.
+    fn register(&self, addr: SocketAddr, stream: &Arc<TcpStream>) -> bool {
         let mut state = self.state();
         state.1 = Some(stream.clone());
         state.0 == addr
     }
 
-    /// Waits, but no longer than the bus stays there.
-    fn wait(&self, addr: SocketAddr, pause: Duration) {
-        let here = |state: &mut (SocketAddr, Option<Arc<TcpStream>>)| state.0 == addr;
-        drop(self.moved.wait_timeout_while(self.state(), pause, here));
+    /// Waits for the timeout, or until the address changes.
+    fn wait_until_moved(&self, addr: SocketAddr, timeout: Duration) {
+        let is_unchanged = |state: &mut (SocketAddr, Option<Arc<TcpStream>>)| state.0 == addr;
+        drop(self.moved.wait_timeout_while(self.state(), timeout, is_unchanged));
     }
 
-    /// Moves it; what is being read at the old address ends at once. False if it is there already.
+    /// Changes the address and ends the read from the old one immediately. Returns false if the address is unchanged.
     pub fn move_to(&self, addr: SocketAddr) -> bool {
         let mut state = self.state();
         if state.0 == addr {
@@ -239,49 +256,49 @@
     }
 }
 
-/// Reads one response: its body, and whether the connection goes on.
-fn response(mut stream: &TcpStream, bytes: &mut Vec<u8>) -> Result<(Vec<u8>, bool), String> {
+/// Reads one response and returns its body and whether the connection stays open.
+fn read_response(mut stream: &TcpStream, buffer: &mut Vec<u8>) -> Result<(Vec<u8>, bool), String> {
     let mut chunk = [0; 8192];
-    let mut ended = false;
-    let mut until = Instant::now() + SILENCE;
+    let mut is_eof = false;
+    let mut deadline = Instant::now() + FIRST_BYTE_TIMEOUT;
     loop {
-        if let Some(head) = http::parse_response_head(bytes)? {
-            let rest = &bytes[head.head_bytes..];
-            let whole = match head.body {
+        if let Some(head) = http::parse_response_head(buffer)? {
+            let rest = &buffer[head.head_bytes..];
+            let complete = match head.body {
                 Body::Length(length) if rest.len() >= length => Some((rest[..length].to_vec(), length)),
                 Body::Length(_) => None,
                 Body::Chunked => http::decode_chunked(rest)?,
-                Body::UntilClose => ended.then(|| (rest.to_vec(), rest.len())),
+                Body::UntilClose => is_eof.then(|| (rest.to_vec(), rest.len())),
             };
-            if let Some((body, used)) = whole {
+            if let Some((body, consumed)) = complete {
                 if head.status != 200 {
                     return Err(format!("status {}", head.status));
                 }
-                bytes.drain(..head.head_bytes + used);
-                return Ok((body, head.keep_alive && !ended));
+                buffer.drain(..head.head_bytes + consumed);
+                return Ok((body, head.keep_alive && !is_eof));
             }
         }
-        if ended {
-            return Err("closed within a response".into());
+        if is_eof {
+            return Err("connection closed in the middle of a response".into());
         }
-        if bytes.len() > LONGEST {
-            return Err("a response is too long".into());
+        if buffer.len() > MAX_RESPONSE_BYTES {
+            return Err("the response is too long".into());
         }
-        let left = until.saturating_duration_since(Instant::now());
-        if left.is_zero() {
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        if remaining.is_zero() {
             return Err("silent".into());
         }
-        stream.set_read_timeout(Some(left)).map_err(|e| format!("timeout: {e}"))?;
-        let got = match stream.read(&mut chunk) {
-            // A process that is stopped and goes on sees Interrupted on every read that has a time limit.
+        stream.set_read_timeout(Some(remaining)).map_err(|e| format!("timeout: {e}"))?;
+        let received = match stream.read(&mut chunk) {
+            // After SIGSTOP and SIGCONT every read with a timeout fails with Interrupted.
             Err(e) if matches!(e.kind(), ErrorKind::Interrupted | ErrorKind::WouldBlock) => continue,
-            got => got.map_err(|e| format!("read: {e}"))?,
+            received => received.map_err(|e| format!("read: {e}"))?,
         };
-        if bytes.is_empty() {
-            until = Instant::now() + WHOLE;
+        if buffer.is_empty() {
+            deadline = Instant::now() + FULL_RESPONSE_TIMEOUT;
         }
-        ended = got == 0;
-        bytes.extend_from_slice(&chunk[..got]);
+        is_eof = received == 0;
+        buffer.extend_from_slice(&chunk[..received]);
     }
 }
 
--- a/front/src/client/connection.rs
+++ b/front/src/client/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a cache node: a thread that writes and one that reads, around what `streams` decides.
+//! One connection to a cache node: a writer thread and a reader thread around the decisions of `streams`.
 
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -11,7 +11,7 @@
 use elmtide::{MemberId, Note, Outcome};
 
 use crate::client::shortage::Shortage;
-use crate::client::streams::{Admitted, Look, Opening, Purpose, Streams, Turn};
+use crate::client::streams::{CheckResult, NewStream, Purpose, StreamId, Streams, WriteDecision};
 use crate::exchange::{AttemptEnd, AttemptKey, Input, Progress, ServedCopy, Token};
 use crate::memory::counters::Counters;
 use crate::process::backoff::Backoff;
@@ -19,70 +19,74 @@
 use crate::process::spawn;
 use crate::wire::lines::{Answer, Word, MAX_LINE_BYTES};
 
-/// What an answer is given to begin with.
-const FIRST_BYTES: usize = 64 * 1024;
-/// Frames that wait for the writer at most.
-const QUEUE: usize = 512;
-/// A peer that takes in nothing for so long is given up; what it was being sent is not whole.
+/// Initial buffer capacity for an answer.
+const INITIAL_ANSWER_CAPACITY: usize = 64 * 1024;
+/// Maximum number of frames that wait for the writer.
+const MAX_QUEUED_FRAMES: usize = 512;
+/// A peer that accepts no bytes for this long is given up; the request being written stays incomplete.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
-/// A shortage of a moment is waited out; one that lasts is no reason to keep a request waiting.
-const SHORTAGE_PATIENCE: Duration = Duration::from_millis(250);
-/// Pauses between tries to connect while this machine is short of something: the first, and the longest.
-const CONNECT_PAUSE: (Duration, Duration) = (Duration::from_millis(2), Duration::from_millis(20));
+/// How long connecting is retried during a resource shortage. A brief shortage is waited out; a lasting one must not
+/// keep a request waiting.
+const SHORTAGE_RETRY_TIMEOUT: Duration = Duration::from_millis(250);
+/// The delay between the first two attempts to connect during a resource shortage.
+const MIN_CONNECT_RETRY_DELAY: Duration = Duration::from_millis(2);
+const MAX_CONNECT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Bytes for the writer: those of an opening, or what is said of one that is written already.
+/// Bytes for the writer: those of a new stream (with its id), or a message about one that has already been written.
 #[derive(Debug)]
 struct Frame {
     tag: Token,
-    turn: Option<Turn>,
+    id: Option<StreamId>,
     bytes: Vec<u8>,
 }
 
-/// The part of a connection that the pool and both threads share.
+/// The state of a connection that the pool and both threads share.
 #[derive(Debug)]
 pub struct Connection {
     streams: Mutex<Streams>,
     frames: Sender<Frame>,
-    /// How often bytes have come.
-    reads: AtomicU64,
-    stream: Mutex<Option<Arc<TcpStream>>>,
+    /// Number of reads from the socket so far.
+    read_count: AtomicU64,
+    socket: Mutex<Option<Arc<TcpStream>>>,
 }
 
+/// The node to connect to, with the limits of the connection.
 pub struct Peer {
     pub addr: SocketAddr,
     pub connect_timeout: Duration,
-    /// Looks without a byte until it is first asked whether it is still there.
-    pub patience: u32,
-    /// What has waited so long to be written is not written any more.
-    pub stale: Duration,
-    /// Whether this machine is short of what a connection takes.
+    /// Checks without a byte received before the first ping.
+    pub checks_before_ping: u32,
+    /// A request that has waited longer to be written is no longer written.
+    pub max_write_delay: Duration,
+    /// Whether this machine lacks a resource that a connection needs.
     pub shortage: Shortage,
 }
 
-/// Whose doing the end of a connection is.
+/// What caused the end of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum EndCause {
-    /// The peer's, or that of the way to it.
+    /// The peer, or the network path to it.
     Peer,
-    /// This machine was short of something before anything was written.
+    /// This machine lacked a resource before anything was written.
     LocalShortage,
 }
 
 impl Connection {
+    /// Creates the connection and starts its writer thread, which connects.
     pub fn open(peer: Peer, inputs: Sender<Input>, counters: Arc<Counters>) -> io::Result<Arc<Connection>> {
-        let (frames, queue) = bounded(QUEUE);
-        let streams = Mutex::new(Streams::new(peer.patience, peer.stale, Instant::now()));
-        let reads = AtomicU64::new(0);
-        let connection = Arc::new(Connection { streams, frames, reads, stream: Mutex::new(None) });
-        let own = connection.clone();
+        let (frames, queue) = bounded(MAX_QUEUED_FRAMES);
+        let streams = Mutex::new(Streams::new(peer.checks_before_ping, peer.max_write_delay, Instant::now()));
+        let read_count = AtomicU64::new(0);
+        let connection = Arc::new(Connection { streams, frames, read_count, socket: Mutex::new(None) });
+        let writer = connection.clone();
         spawn("node-writer", move || {
-            // A panic stops at the connection: what is open on it still ends.
-            let run = || own.write(&peer, &queue, &inputs, &counters);
+            // A panic is confined to the connection: its open streams are still reported as ended.
+            let run = || writer.write(&peer, &queue, &inputs, &counters);
             let cause = catch_unwind(AssertUnwindSafe(run)).unwrap_or_else(|_| {
-                eprintln!("node {}: connection dropped after a panic", peer.addr);
+                eprintln!("node {}: connection closed after a panic", peer.addr);
                 EndCause::Peer
             });
-            own.close(&inputs, cause);
+            writer.close(&inputs, cause);
         })?;
         Ok(connection)
     }
@@ -91,124 +95,128 @@
         self.streams.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// Queues a request; false if this connection can't take it now.
-    pub fn try_send(&self, opening: &Opening<'_>, bytes: Vec<u8>) -> bool {
+    /// Queues a request; false if this connection can't accept it now.
+    pub fn try_send(&self, new_stream: &NewStream<'_>, bytes: Vec<u8>) -> bool {
         let mut streams = self.streams();
-        if !streams.accepts(opening) {
+        if !streams.can_accept(new_stream) {
             return false;
         }
-        let frame = Frame { tag: opening.tag.clone(), turn: Some(streams.next_turn()), bytes };
+        let frame = Frame { tag: new_stream.tag.clone(), id: Some(streams.next_id()), bytes };
         if self.frames.try_send(frame).is_err() {
             return false;
         }
-        streams.open(opening, Instant::now());
+        streams.open(new_stream, Instant::now());
         true
     }
 
-    /// Gives an attempt up; tells how far it had come, `None` if it is not open here.
-    pub fn give_up(&self, tag: &Token, key: AttemptKey, never_mind: Vec<u8>) -> Option<Progress> {
-        let progress = self.streams().give_up(tag, key, Instant::now())?;
+    /// Abandons an attempt and returns how far it had come; `None` if it is not open here.
+    pub fn abandon(&self, tag: &Token, key: AttemptKey, cancel_line: Vec<u8>) -> Option<Progress> {
+        let progress = self.streams().abandon(tag, key, Instant::now())?;
         if progress != Progress::NotConnected {
-            let _ = self.frames.try_send(Frame { tag: tag.clone(), turn: None, bytes: never_mind });
+            let _ = self.frames.try_send(Frame { tag: tag.clone(), id: None, bytes: cancel_line });
         }
         Some(progress)
     }
 
-    /// Takes an attempt back if nothing of it has been written, nor will be.
+    /// Withdraws an attempt if nothing of it has been written; it is then never written.
     pub fn withdraw(&self, tag: &Token, key: AttemptKey) -> bool {
         self.streams().withdraw(tag, key)
     }
 
-    /// Takes back what has not been written and such a member would serve or fill.
-    pub fn withdraw_from(&self, lost: &dyn Fn(MemberId) -> bool) -> Vec<AttemptKey> {
-        self.streams().withdraw_from(lost)
+    /// Withdraws the unwritten attempts that a lost member would serve or fill.
+    pub fn withdraw_from(&self, is_lost: &dyn Fn(MemberId) -> bool) -> Vec<AttemptKey> {
+        self.streams().withdraw_from(is_lost)
     }
 
+    /// Whether an attempt may have run.
     pub fn may_have_run(&self, tag: &Token, key: AttemptKey) -> bool {
         self.streams().may_have_run(tag, key)
     }
 
-    /// Takes nothing new from now on.
+    /// Accepts no new requests from now on.
     pub fn retire(&self) {
         self.streams().retire();
     }
 
+    /// Whether the connection is closed.
     pub fn is_closed(&self) -> bool {
         self.streams().is_closed()
     }
 
-    /// Ends the connection if it is of no further use. Whatever is out on it has run as far as is known.
-    pub fn look(&self, ping: &Token, asking: Option<Vec<u8>>) {
+    /// Checks a connection with unanswered attempts: sends a ping, or closes it if it is of no further use.
+    /// Everything in flight on it may have run.
+    pub fn check(&self, ping: &Token, ping_line: Option<Vec<u8>>) {
         let mut streams = self.streams();
-        match streams.look(self.reads.load(Relaxed), asking.is_some()) {
-            Look::Leave => {}
-            Look::Ask => {
-                streams.asks(ping, Instant::now());
-                let bytes = asking.unwrap_or_default();
-                let _ = self.frames.try_send(Frame { tag: ping.clone(), turn: None, bytes });
+        match streams.check(self.read_count.load(Relaxed), ping_line.is_some()) {
+            CheckResult::Keep => {}
+            CheckResult::SendPing => {
+                streams.open_ping(ping, Instant::now());
+                let bytes = ping_line.unwrap_or_default();
+                let _ = self.frames.try_send(Frame { tag: ping.clone(), id: None, bytes });
             }
-            Look::Shut => {
+            CheckResult::Close => {
                 drop(streams);
-                self.shut();
+                self.shut_down();
             }
         }
     }
 
-    /// Closes it if it has been idle for so long, or if it is retired and idle; true if it is closed.
-    pub fn sweep(&self, idle: Duration) -> bool {
+    /// Closes the connection if it has been idle for the timeout, or is retired and idle; true if it is closed.
+    pub fn close_if_idle(&self, idle_timeout: Duration) -> bool {
         let mut streams = self.streams();
-        if streams.sweep(idle, Instant::now()) {
+        if streams.close_if_idle(idle_timeout, Instant::now()) {
             drop(streams);
-            self.shut();
+            self.shut_down();
             return true;
         }
         streams.is_closed()
     }
 
-    fn shut(&self) {
-        if let Some(stream) = self.stream.lock().unwrap_or_else(|p| p.into_inner()).take() {
-            let _ = stream.shutdown(Shutdown::Both);
+    /// Shuts the socket down and wakes the writer.
+    fn shut_down(&self) {
+        if let Some(socket) = self.socket.lock().unwrap_or_else(|p| p.into_inner()).take() {
+            let _ = socket.shutdown(Shutdown::Both);
         }
-        // Wakes a writer that waits for frames; one whose queue is full is awake.
-        if let Some(wake) = Token::new(b"-") {
-            let _ = self.frames.try_send(Frame { tag: wake, turn: None, bytes: Vec::new() });
+        // Wakes a writer that waits for frames; a writer with a full queue is not waiting.
+        if let Some(wake_tag) = Token::new(b"-") {
+            let _ = self.frames.try_send(Frame { tag: wake_tag, id: None, bytes: Vec::new() });
         }
     }
 
-    /// Ends the connection and all that is open on it.
+    /// Closes the connection and reports the end of all its open streams.
     fn close(&self, inputs: &Sender<Input>, cause: EndCause) {
-        let (open, by_us) = {
+        let (open, closed_by_us) = {
             let mut streams = self.streams();
-            (streams.close().collect::<Vec<_>>(), streams.is_shut_by_us())
+            (streams.close().collect::<Vec<_>>(), streams.is_closed_by_us())
         };
-        self.shut();
-        let returned = match cause {
+        self.shut_down();
+        let to_end = match cause {
             EndCause::LocalShortage => |_| AttemptEnd::NotSent,
-            EndCause::Peer if by_us => AttemptEnd::Abandoned,
+            EndCause::Peer if closed_by_us => AttemptEnd::Abandoned,
             EndCause::Peer => AttemptEnd::ConnectionFailed,
         };
-        open.into_iter().for_each(|(purpose, progress)| end(purpose, progress, returned, inputs));
+        open.into_iter().for_each(|(purpose, progress)| report_end(purpose, progress, to_end, inputs));
     }
 
-    /// Connects, as soon as this machine has what it takes.
+    /// Connects, and retries for a limited time while this machine lacks a resource.
     fn connect(&self, peer: &Peer) -> Result<TcpStream, EndCause> {
-        // What waits on the connection is not written after that either.
-        let until = Instant::now() + peer.stale.min(SHORTAGE_PATIENCE);
-        let mut backoff = Backoff::new(CONNECT_PAUSE.0, CONNECT_PAUSE.1);
+        // The requests that wait for the connection would not be written later than that either.
+        let deadline = Instant::now() + peer.max_write_delay.min(SHORTAGE_RETRY_TIMEOUT);
+        let mut backoff = Backoff::new(MIN_CONNECT_RETRY_DELAY, MAX_CONNECT_RETRY_DELAY);
         loop {
             let error = match TcpStream::connect_timeout(&peer.addr, peer.connect_timeout) {
-                Ok(stream) => {
-                    peer.shortage.end();
-                    return Ok(stream);
+                Ok(socket) => {
+                    peer.shortage.clear();
+                    return Ok(socket);
                 }
                 Err(error) => error,
             };
             match remedy(Call::Connect, &error) {
-                Remedy::RetryNow | Remedy::BackOff if Instant::now() < until && !self.is_closed() => {
+                Remedy::RetryNow | Remedy::BackOff if Instant::now() < deadline && !self.is_closed() => {
                     std::thread::sleep(backoff.pause());
                 }
                 Remedy::RetryNow | Remedy::BackOff => {
-                    peer.shortage.observe(Instant::now());
+                    peer.shortage.report(Instant::now());
                     return Err(EndCause::LocalShortage);
                 }
                 Remedy::WaitUntilReady | Remedy::DropConnection | Remedy::GiveUp => {
@@ -218,6 +226,7 @@
         }
     }
 
+    /// Connects, starts the reader, and writes frames until the connection ends.
     fn write(
         self: &Arc<Self>,
         peer: &Peer,
@@ -225,39 +234,39 @@
         inputs: &Sender<Input>,
         counters: &Counters,
     ) -> EndCause {
-        let stream = match self.connect(peer) {
-            Ok(stream) => stream,
+        let socket = match self.connect(peer) {
+            Ok(socket) => socket,
             Err(cause) => return cause,
         };
         counters.node_connections.fetch_add(1, Relaxed);
-        let _ = stream.set_nodelay(true);
-        let _ = stream.set_write_timeout(Some(WRITE_TIMEOUT));
-        let stream = Arc::new(stream);
-        *self.stream.lock().unwrap_or_else(|p| p.into_inner()) = Some(stream.clone());
-        let (own, input, reader) = (self.clone(), inputs.clone(), stream.clone());
-        let started = spawn("node-reader", move || {
-            let run = || own.read(&reader, &input);
+        let _ = socket.set_nodelay(true);
+        let _ = socket.set_write_timeout(Some(WRITE_TIMEOUT));
+        let socket = Arc::new(socket);
+        *self.socket.lock().unwrap_or_else(|p| p.into_inner()) = Some(socket.clone());
+        let (connection, input, reader) = (self.clone(), inputs.clone(), socket.clone());
+        let reader_thread = spawn("node-reader", move || {
+            let run = || connection.read(&reader, &input);
             if catch_unwind(AssertUnwindSafe(run)).is_err() {
                 eprintln!("node connection: reader stopped after a panic");
             }
-            own.close(&input, EndCause::Peer);
+            connection.close(&input, EndCause::Peer);
         });
-        if started.is_err() {
+        if reader_thread.is_err() {
             return EndCause::LocalShortage;
         }
-        while let Ok(Frame { tag, turn, bytes }) = queue.recv() {
-            let admitted = self.streams().admit(&tag, turn, Instant::now());
-            let tally = match admitted {
-                Admitted::Closed => break,
-                Admitted::Skipped => continue,
-                Admitted::Overdue(purpose) => {
-                    end(purpose, Progress::NotConnected, AttemptEnd::ConnectionFailed, inputs);
+        while let Ok(Frame { tag, id, bytes }) = queue.recv() {
+            let decision = self.streams().begin_write(&tag, id, Instant::now());
+            let tally = match decision {
+                WriteDecision::Closed => break,
+                WriteDecision::Skip => continue,
+                WriteDecision::Expired(purpose) => {
+                    report_end(purpose, Progress::NotConnected, AttemptEnd::ConnectionFailed, inputs);
                     continue;
                 }
-                Admitted::Yes(tally) => tally,
+                WriteDecision::Write(tally) => tally,
             };
-            if write_counted(&stream, &bytes) < bytes.len() {
-                self.streams().fell_short(&tag);
+            if write_up_to_failure(&socket, &bytes) < bytes.len() {
+                self.streams().mark_partly_written(&tag);
                 break;
             }
             if let Some(tally) = tally {
@@ -267,53 +276,59 @@
         EndCause::Peer
     }
 
-    fn read(&self, stream: &TcpStream, inputs: &Sender<Input>) {
-        let mut reader = BufReader::with_capacity(16 * 1024, Counted(stream, &self.reads));
+    /// Reads answers and reports them until the connection ends.
+    fn read(&self, socket: &TcpStream, inputs: &Sender<Input>) {
+        let mut reader = BufReader::with_capacity(16 * 1024, CountingReader(socket, &self.read_count));
         let mut line = Vec::new();
         loop {
             line.clear();
             match reader.fill_buf() {
                 Ok([]) => return,
-                Ok(begun) if !begun.contains(&b'\n') => self.streams().line_begins(),
+                Ok(partial) if !partial.contains(&b'\n') => self.streams().line_started(),
                 Ok(_) => {}
-                Err(why) if why.kind() == io::ErrorKind::Interrupted => continue,
+                Err(error) if error.kind() == io::ErrorKind::Interrupted => continue,
                 Err(_) => return,
             }
-            let got = (&mut reader).take(MAX_LINE_BYTES as u64).read_until(b'\n', &mut line);
-            if !matches!(got, Ok(n) if n > 0) || line.last() != Some(&b'\n') {
+            let received = (&mut reader).take(MAX_LINE_BYTES as u64).read_until(b'\n', &mut line);
+            if !matches!(received, Ok(n) if n > 0) || line.last() != Some(&b'\n') {
                 return;
             }
             let Ok(answer) = Answer::parse(&line) else {
-                eprintln!("node connection: closed over an answer that can't be read");
+                eprintln!("node connection: closed because an answer could not be parsed");
                 return;
             };
             let Some(tag) = Token::new(answer.id.as_bytes()) else { return };
-            self.streams().answer_begins(&tag);
-            // Memory is taken as the bytes come, and not for what a length only says.
-            let mut bytes = Vec::with_capacity(answer.length.min(FIRST_BYTES));
-            let mut end = [0; 2];
-            let got = (&mut reader).take(answer.length as u64).read_to_end(&mut bytes);
-            let whole = got.is_ok_and(|n| n == answer.length) && reader.read_exact(&mut end).is_ok();
-            if !whole || end != *b"\r\n" {
+            self.streams().answer_started(&tag);
+            // Memory is allocated as bytes arrive, not by the announced length.
+            let mut bytes = Vec::with_capacity(answer.length.min(INITIAL_ANSWER_CAPACITY));
+            let mut line_end = [0; 2];
+            let received = (&mut reader).take(answer.length as u64).read_to_end(&mut bytes);
+            let is_complete =
+                received.is_ok_and(|n| n == answer.length) && reader.read_exact(&mut line_end).is_ok();
+            if !is_complete || line_end != *b"\r\n" {
                 return;
             }
-            let answered = {
+            let completed = {
                 let mut streams = self.streams();
-                let answered = streams.answer_ends(&tag, Instant::now());
-                // What has come behind it is seen before anybody can act on the answer.
+                let completed = streams.answer_completed(&tag, Instant::now());
+                // Bytes received after this answer are recorded before anyone can act on the answer.
                 if !reader.buffer().is_empty() {
-                    streams.line_begins();
+                    streams.line_started();
                 }
-                answered
+                completed
             };
-            let Some(slot) = answered else { continue };
-            let input = match slot.purpose {
-                Purpose::GivenUp | Purpose::Ping => continue,
+            let Some(answered_stream) = completed else { continue };
+            let input = match answered_stream.purpose {
+                Purpose::Abandoned | Purpose::Ping => continue,
                 Purpose::Probe(member) => {
                     let outcome = if answer.word == Word::Pong { Outcome::Ok } else { Outcome::Error };
-                    Input::Probed { member, outcome, latency: slot.since.elapsed().as_secs_f64() * 1000.0 }
+                    Input::Probed {
+                        member,
+                        outcome,
+                        latency: answered_stream.since.elapsed().as_secs_f64() * 1000.0,
+                    }
                 }
-                Purpose::Attempt(key) => Input::AttemptEnded { key, end: returned(&answer, bytes) },
+                Purpose::Attempt(key) => Input::AttemptEnded { key, end: attempt_end(&answer, bytes) },
             };
             if inputs.send(input).is_err() {
                 return;
@@ -322,22 +337,22 @@
     }
 }
 
-/// Counts how often bytes come.
-struct Counted<'a>(&'a TcpStream, &'a AtomicU64);
+/// Counts the reads from the socket.
+struct CountingReader<'a>(&'a TcpStream, &'a AtomicU64);
 
-impl Read for Counted<'_> {
+impl Read for CountingReader<'_> {
     fn read(&mut self, buffer: &mut [u8]) -> io::Result<usize> {
-        let got = self.0.read(buffer)?;
+        let received = self.0.read(buffer)?;
         self.1.fetch_add(1, Relaxed);
-        Ok(got)
+        Ok(received)
     }
 }
 
-/// How many bytes went out before the connection failed, or all.
-fn write_counted(mut stream: &TcpStream, bytes: &[u8]) -> usize {
+/// Writes until done or the connection fails; returns the number of bytes written.
+fn write_up_to_failure(mut socket: &TcpStream, bytes: &[u8]) -> usize {
     let mut written = 0;
     while written < bytes.len() {
-        match stream.write(&bytes[written..]) {
+        match socket.write(&bytes[written..]) {
             Ok(0) => break,
             Ok(n) => written += n,
             Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
@@ -347,22 +362,27 @@
     written
 }
 
-/// Tells the engine that the connection has failed this.
-fn end(purpose: Purpose, progress: Progress, returned: fn(Progress) -> AttemptEnd, inputs: &Sender<Input>) {
+/// Reports to the engine that the connection failed for this stream.
+fn report_end(
+    purpose: Purpose,
+    progress: Progress,
+    to_end: fn(Progress) -> AttemptEnd,
+    inputs: &Sender<Input>,
+) {
     let input = match purpose {
-        Purpose::Attempt(key) => Input::AttemptEnded { key, end: returned(progress) },
-        Purpose::Probe(member) => match returned(progress) {
-            // Nothing was asked, so nothing is known.
+        Purpose::Attempt(key) => Input::AttemptEnded { key, end: to_end(progress) },
+        Purpose::Probe(member) => match to_end(progress) {
+            // Nothing was sent, so nothing is known about the member.
             AttemptEnd::NotSent => return,
             _ => Input::Probed { member, outcome: progress.outcome_if_broken(), latency: 0.0 },
         },
-        Purpose::GivenUp | Purpose::Ping => return,
+        Purpose::Abandoned | Purpose::Ping => return,
     };
     let _ = inputs.send(input);
 }
 
-/// What an answer means to the module.
-fn returned(answer: &Answer<'_>, bytes: Vec<u8>) -> AttemptEnd {
+/// Converts an answer into the end of an attempt, in the decision module's terms.
+fn attempt_end(answer: &Answer<'_>, bytes: Vec<u8>) -> AttemptEnd {
     let note = match answer.field("remark") {
         Some("local") => Note::Hit,
         Some("pulled") => Note::Filled,
--- a/front/src/client/pool.rs
+++ b/front/src/client/pool.rs
@@ -1,5 +1,5 @@
-//! The pooled connections to cache nodes, by member and not by address: an address may be held by a new member
-//! while connections to the one that held it before are still open.
+//! The pool of connections to cache nodes. It is keyed by member and not by address, since a new member may take over
+//! an address while connections to the previous member are still open.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -10,125 +10,136 @@
 
 use crate::client::connection::{Connection, Peer};
 use crate::client::shortage::Shortage;
-use crate::client::streams::{Opening, Purpose, Room, QUIET};
+use crate::client::streams::{NewStream, Purpose, Sharing, MAX_CHECKS_BEFORE_PING, MIN_CHECKS_BEFORE_PING};
 use crate::exchange::*;
 use crate::memory::counters::Counters;
 use crate::memory::members::Members;
 use crate::process::clock;
 use crate::wire::lines::{encode_never_mind, encode_there, Want};
 
+/// Limits and timeouts of the pool, from the settings.
 #[derive(Clone, Copy, Debug)]
-pub struct Limits {
+pub struct PoolLimits {
     pub connect_timeout: Duration,
-    /// Idle connections are closed a good while before the other side does it, so that no request crosses that.
-    pub idle: Duration,
+    /// Idle connections are closed well before the other side closes them, so that no request is sent on a connection
+    /// that the node is closing.
+    pub idle_timeout: Duration,
     pub streams_per_connection: usize,
-    pub connections: usize,
-    /// Whether nodes may be asked if they are there.
+    pub max_connections: usize,
+    /// Whether nodes may be sent pings.
     pub probes: bool,
-    /// Looks at a connection that brings nothing until that is asked.
-    pub patience: u32,
-    /// What has waited so long to be written is not written any more.
-    pub stale: Duration,
+    /// Checks of a silent connection before it is sent a ping.
+    pub checks_before_ping: u32,
+    /// A request that has waited longer to be written is no longer written.
+    pub max_write_delay: Duration,
 }
 
-/// Up to this price of one probe for each request, in parts of the service, a silent connection is asked at once.
-const CHEAP: f64 = 0.02;
+/// Up to this cost of one probe per request, as a fraction of the service score, a silent connection is sent a ping
+/// after the fewest checks.
+const CHEAP_PROBE_COST: f64 = 0.02;
 
-impl Limits {
-    /// How many looks to wait before a question of this price: a front of many has one request on a connection, so
-    /// each answer that takes its time would be asked after, by all fronts.
-    pub fn patience(price: Option<f64>) -> u32 {
-        let (least, most) = QUIET;
-        let dear = price.filter(|p| p.is_finite()).map_or(1.0, |p| p / CHEAP);
-        ((f64::from(least) * dear) as u32).clamp(least, most)
+impl PoolLimits {
+    /// The number of silent checks before a ping of this cost. With many fronts each connection carries only one
+    /// request, so every front would send a ping for each slow answer.
+    pub fn checks_before_ping(cost: Option<f64>) -> u32 {
+        let (fewest, most) = (MIN_CHECKS_BEFORE_PING, MAX_CHECKS_BEFORE_PING);
+        let cost_ratio = cost.filter(|p| p.is_finite()).map_or(1.0, |p| p / CHEAP_PROBE_COST);
+        ((f64::from(fewest) * cost_ratio) as u32).clamp(fewest, most)
     }
 }
 
-/// Attempts on one connection, as long as others may be opened: one spoilt answer takes all of them with it.
-const SHARE: usize = 4;
+/// Attempts on one connection while other connections may be opened: one malformed answer breaks them all.
+const MAX_SHARED_ATTEMPTS: usize = 4;
 
+/// All connections to cache nodes, and the attempts in flight on them.
 pub struct Pool {
-    limits: Limits,
+    limits: PoolLimits,
     members: Members,
     started_at: BTreeMap<MemberId, Option<Ms>>,
     connections: BTreeMap<MemberId, Vec<Arc<Connection>>>,
-    out: HashMap<AttemptKey, (Arc<Connection>, Token)>,
-    probes: u64,
+    in_flight: HashMap<AttemptKey, (Arc<Connection>, Token)>,
+    probe_count: u64,
     shortage: Shortage,
     inputs: Sender<Input>,
     counters: Arc<Counters>,
 }
 
 impl Pool {
-    pub fn new(limits: Limits, inputs: Sender<Input>, counters: Arc<Counters>) -> Pool {
+    /// Creates an empty pool. Results of attempts and probes are sent to `inputs`.
+    pub fn new(limits: PoolLimits, inputs: Sender<Input>, counters: Arc<Counters>) -> Pool {
         Pool {
             limits,
             members: Members::default(),
             started_at: BTreeMap::new(),
             connections: BTreeMap::new(),
-            out: HashMap::new(),
-            probes: 0,
+            in_flight: HashMap::new(),
+            probe_count: 0,
             shortage: Shortage::new(Instant::now()),
             inputs,
             counters,
         }
     }
 
-    /// A name for a question that is no request's.
-    fn tag(&mut self) -> Option<Token> {
-        self.probes += 1;
-        Token::new(format!("p{:015x}", self.probes).as_bytes())
+    /// A new tag for a probe or ping, which belongs to no request.
+    fn next_probe_tag(&mut self) -> Option<Token> {
+        self.probe_count += 1;
+        Token::new(format!("p{:015x}", self.probe_count).as_bytes())
     }
 
-    /// Puts a request on a connection to this member, an open one or a new one.
+    /// Queues a request on an open or new connection to the member.
     fn dispatch(
         &mut self,
         member: MemberId,
-        opening: &Opening<'_>,
+        new_stream: &NewStream<'_>,
         frame: &[u8],
     ) -> Result<Arc<Connection>, SendError> {
         let addr = self.members.get(member).and_then(|m| m.addr).ok_or(SendError::NoAddress)?;
         let open = self.connections.entry(member).or_default();
-        if let Some(found) = open.iter().find(|c| c.try_send(opening, frame.to_vec())) {
+        if let Some(found) = open.iter().find(|c| c.try_send(new_stream, frame.to_vec())) {
             return Ok(found.clone());
         }
         if self.is_full() {
-            // Those that have ended are no use, and are counted only until the next sweep.
-            self.drop_closed();
+            // Closed connections are of no use, and count only until the next sweep.
+            self.remove_closed();
         }
         if self.is_full() {
-            let room = Room { streams: self.limits.streams_per_connection, alone: false };
-            let many = Opening { room, ..opening.clone() };
+            let sharing = Sharing { max_streams: self.limits.streams_per_connection, exclusive: false };
+            let shared = NewStream { sharing, ..new_stream.clone() };
             let mut open = self.connections.get(&member).into_iter().flatten();
-            let found = open.find(|c| c.try_send(&many, frame.to_vec()));
+            let found = open.find(|c| c.try_send(&shared, frame.to_vec()));
             return found.cloned().ok_or(SendError::NoConnection);
         }
-        if self.shortage.lasts(Instant::now()) {
+        if self.shortage.is_active(Instant::now()) {
             return Err(SendError::NoConnection);
         }
-        let Limits { connect_timeout, patience, stale, .. } = self.limits;
-        let peer = Peer { addr, connect_timeout, patience, stale, shortage: self.shortage.clone() };
+        let PoolLimits { connect_timeout, checks_before_ping, max_write_delay, .. } = self.limits;
+        let peer = Peer {
+            addr,
+            connect_timeout,
+            checks_before_ping,
+            max_write_delay,
+            shortage: self.shortage.clone(),
+        };
         let connection = Connection::open(peer, self.inputs.clone(), self.counters.clone())
             .map_err(|_| SendError::NoConnection)?;
-        let sent = connection.try_send(opening, frame.to_vec());
+        let sent = connection.try_send(new_stream, frame.to_vec());
         self.connections.entry(member).or_default().push(connection.clone());
         sent.then_some(connection).ok_or(SendError::NoConnection)
     }
 
     fn is_full(&self) -> bool {
-        self.connections.values().map(Vec::len).sum::<usize>() >= self.limits.connections
+        self.connections.values().map(Vec::len).sum::<usize>() >= self.limits.max_connections
     }
 
-    fn drop_closed(&mut self) {
+    fn remove_closed(&mut self) {
         self.connections.retain(|_, open| {
             open.retain(|c| !c.is_closed());
             !open.is_empty()
         });
     }
 
-    fn room(&self, alone: bool) -> Room {
-        Room { streams: self.limits.streams_per_connection.min(SHARE), alone }
+    fn sharing(&self, exclusive: bool) -> Sharing {
+        Sharing { max_streams: self.limits.streams_per_connection.min(MAX_SHARED_ATTEMPTS), exclusive }
     }
 }
 
@@ -153,80 +164,82 @@
             replay: forwarded.idempotency_key.as_ref().map(Token::as_str),
             body: &forwarded.body,
         };
-        let left = |by: Ms| Duration::from_secs_f64(((by - clock::steady_ms()) / 1000.0).clamp(0.0, 3600.0));
-        let opening = Opening {
+        let time_until =
+            |by: Ms| Duration::from_secs_f64(((by - clock::steady_ms()) / 1000.0).clamp(0.0, 3600.0));
+        let new_stream = NewStream {
             tag: &forwarded.job,
             purpose: Purpose::Attempt(order.key),
-            room: self.room(forwarded.once),
+            sharing: self.sharing(forwarded.once),
             tally: Some(&forwarded.tally),
-            write_by: order.write_by.map(|by| Instant::now() + left(by)),
+            write_by: order.write_by.map(|by| Instant::now() + time_until(by)),
             guarded: order.guarded,
             members: [Some(order.cache), order.source],
         };
-        let connection = self.dispatch(order.cache, &opening, &want.encode())?;
-        self.out.insert(order.key, (connection, forwarded.job.clone()));
+        let connection = self.dispatch(order.cache, &new_stream, &want.encode())?;
+        self.in_flight.insert(order.key, (connection, forwarded.job.clone()));
         Ok(())
     }
 
     fn attempt_ended(&mut self, key: AttemptKey) {
-        self.out.remove(&key);
+        self.in_flight.remove(&key);
     }
 
     fn abandon(&mut self, key: AttemptKey) -> Option<Progress> {
-        let (connection, tag) = self.out.remove(&key)?;
-        connection.give_up(&tag, key, encode_never_mind(tag.as_str()))
+        let (connection, tag) = self.in_flight.remove(&key)?;
+        connection.abandon(&tag, key, encode_never_mind(tag.as_str()))
     }
 
     fn withdraw(&mut self, key: AttemptKey) -> bool {
-        let back = self.out.get(&key).is_some_and(|(connection, tag)| connection.withdraw(tag, key));
-        if back {
-            self.out.remove(&key);
+        let withdrawn =
+            self.in_flight.get(&key).is_some_and(|(connection, tag)| connection.withdraw(tag, key));
+        if withdrawn {
+            self.in_flight.remove(&key);
         }
-        back
+        withdrawn
     }
 
     fn withdraw_from(&mut self, lost: &dyn Fn(MemberId) -> bool) -> Vec<AttemptKey> {
-        let back: Vec<AttemptKey> =
+        let withdrawn: Vec<AttemptKey> =
             self.connections.values().flatten().flat_map(|c| c.withdraw_from(lost)).collect();
-        back.iter().for_each(|key| drop(self.out.remove(key)));
-        back
+        withdrawn.iter().for_each(|key| drop(self.in_flight.remove(key)));
+        withdrawn
     }
 
     fn may_have_run(&self, key: AttemptKey) -> bool {
-        self.out.get(&key).is_some_and(|(connection, tag)| connection.may_have_run(tag, key))
+        self.in_flight.get(&key).is_some_and(|(connection, tag)| connection.may_have_run(tag, key))
     }
 
     fn probe(&mut self, member: MemberId) -> Result<(), SendError> {
-        let tag = self.tag().ok_or(SendError::NoConnection)?;
-        let opening = Opening {
+        let tag = self.next_probe_tag().ok_or(SendError::NoConnection)?;
+        let new_stream = NewStream {
             tag: &tag,
             purpose: Purpose::Probe(member),
-            room: self.room(false),
+            sharing: self.sharing(false),
             tally: None,
             write_by: None,
             guarded: false,
             members: [Some(member), None],
         };
-        self.dispatch(member, &opening, &encode_there(tag.as_str())).map(drop)
+        self.dispatch(member, &new_stream, &encode_there(tag.as_str())).map(drop)
     }
 
     fn check_connections(&mut self) {
-        let Some(tag) = self.tag() else { return };
+        let Some(tag) = self.next_probe_tag() else { return };
         let frame = self.limits.probes.then(|| encode_there(tag.as_str()));
-        self.connections.values().flatten().for_each(|c| c.look(&tag, frame.clone()));
+        self.connections.values().flatten().for_each(|c| c.check(&tag, frame.clone()));
     }
 
-    fn update_members(&mut self, news: &MembersUpdate) {
-        if news.full {
+    fn update_members(&mut self, members_update: &MembersUpdate) {
+        if members_update.full {
             self.members.ids().into_iter().for_each(|id| self.members.set_gone(id));
         }
-        for member in &news.members {
+        for member in &members_update.members {
             let before = self.members.get(member.member).map(|m| m.addr);
             let started_at = self.started_at.insert(member.member, member.started_at);
-            // A new process or address: what is open leads to the one before.
-            let other = before.is_some_and(|addr| addr != member.addr)
+            // With a new process or address, the open connections lead to the previous one.
+            let is_replaced = before.is_some_and(|addr| addr != member.addr)
                 || started_at.is_some_and(|started_at| started_at != member.started_at);
-            if other || member.gone {
+            if is_replaced || member.gone {
                 self.connections.get(&member.member).into_iter().flatten().for_each(|c| c.retire());
             }
             self.members.learn(member);
@@ -234,12 +247,12 @@
     }
 
     fn close_idle(&mut self) {
-        let idle = self.limits.idle;
+        let idle_timeout = self.limits.idle_timeout;
         self.connections.retain(|_, open| {
-            open.retain(|c| !c.sweep(idle));
+            open.retain(|c| !c.close_if_idle(idle_timeout));
             !open.is_empty()
         });
-        // Nodes come and go all day, each with an id of its own.
+        // Nodes come and go all day, each with its own id, so those that are gone are forgotten.
         let connections = &self.connections;
         self.members.retain(|id, gone| !gone || connections.contains_key(id));
         let members = &self.members;
@@ -251,15 +264,20 @@
 mod tests {
     use super::*;
 
-    /// A hundred fronts that ask after each slow answer pay for it by what the settings say.
+    /// The deduction for probes in the settings decides how many checks precede a ping: a hundred fronts that each
+    /// send a ping for a slow answer cost as many probes.
     #[test]
-    fn the_dearer_a_probe_the_longer_a_silent_connection_is_left_alone() {
-        assert_eq!(Limits::patience(None), QUIET.0);
-        assert_eq!(Limits::patience(Some(0.011)), QUIET.0);
-        assert_eq!(Limits::patience(Some(0.04)), 2 * QUIET.0);
-        assert_eq!(Limits::patience(Some(0.08)), QUIET.1);
+    fn the_costlier_a_probe_the_more_silent_checks_precede_a_ping() {
+        assert_eq!(PoolLimits::checks_before_ping(None), MIN_CHECKS_BEFORE_PING);
+        assert_eq!(PoolLimits::checks_before_ping(Some(0.011)), MIN_CHECKS_BEFORE_PING);
+        assert_eq!(PoolLimits::checks_before_ping(Some(0.04)), 2 * MIN_CHECKS_BEFORE_PING);
+        assert_eq!(PoolLimits::checks_before_ping(Some(0.08)), MAX_CHECKS_BEFORE_PING);
         for odd in [0.0, -1.0, f64::NAN, f64::INFINITY, 1e300] {
-            assert!((QUIET.0..=QUIET.1).contains(&Limits::patience(Some(odd))), "{odd}");
+            assert!(
+                (MIN_CHECKS_BEFORE_PING..=MAX_CHECKS_BEFORE_PING)
+                    .contains(&PoolLimits::checks_before_ping(Some(odd))),
+                "{odd}"
+            );
         }
     }
 }
--- a/front/src/client/resolver.rs
+++ b/front/src/client/resolver.rs
@@ -1,8 +1,8 @@
-//! Follows names: one thread asks resolvers where the cache nodes of all names are, again and again, and tells the
-//! engine. What is asked, believed and done is decided in `elmtide_dns::stub`; here are its sockets.
+//! Follows upstream names: one thread repeatedly resolves the cache nodes of all names and updates the engine.
+//! `elmtide_dns::stub` decides what to query, which answers to believe and what to do; this module runs its sockets.
 //!
-//! An address that a believed answer no longer holds is draining from that moment; no failure, silence or lie of a
-//! resolver brings it back.
+//! An address that a believed answer no longer contains starts draining at once; no failure, silence or false answer
+//! of a resolver brings it back.
 
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
@@ -15,48 +15,52 @@
 use elmtide_dns::stub::{AskId, Follow, Limits, News, Output, Resolver};
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 
-use crate::client::bus::Names;
+use crate::client::bus::NameTable;
 use crate::edge::config::Upstream;
 use crate::edge::in_force::{InForce, State};
 use crate::exchange::{Input, ListSource};
 use crate::memory::resolved::Resolved;
 use crate::process::{clock, spawn};
 
-/// A change of what is in force is seen so soon, and the end of a question over TCP.
-const LOOK: Duration = Duration::from_millis(100);
-const LOOK_TCP: Duration = Duration::from_millis(5);
-/// A question over TCP takes so long at most, connecting and each read of it.
-const TCP: Duration = Duration::from_millis(300);
-/// Questions over TCP under way.
-const TCP_ASKS: usize = 16;
+/// Longest wait before the configuration in force and results of TCP queries are checked again; shorter while TCP
+/// queries are in flight.
+const MAX_WAIT: Duration = Duration::from_millis(100);
+const MAX_WAIT_WITH_TCP: Duration = Duration::from_millis(5);
+/// Timeout of a TCP query for connecting and for each read or write.
+const TCP_TIMEOUT: Duration = Duration::from_millis(300);
+/// Maximum number of TCP queries in flight.
+const MAX_TCP_QUERIES: usize = 16;
 
-/// What has become of a question over TCP.
-type StreamEnd = (AskId, Option<Vec<u8>>);
+/// The response to a TCP query, or `None` if it failed.
+type TcpResult = (AskId, Option<Vec<u8>>);
 
-struct Name {
+/// A name being followed.
+struct FollowedName {
     upstream: Upstream,
     follow: Follow,
-    told_bad: bool,
+    invalid_reported: bool,
 }
 
-pub struct Client {
-    names: Names,
+/// Resolves the upstream names of the configuration and reports their members to the engine.
+pub struct NameFollower {
+    names: NameTable,
     inputs: Sender<Input>,
     in_force: Arc<InForce>,
     resolved: Resolved,
-    followed: Vec<Name>,
+    followed: Vec<FollowedName>,
     resolver: Resolver,
     servers: Vec<SocketAddr>,
     sockets: BTreeMap<AskId, UdpSocket>,
-    /// Ends of questions over TCP.
-    streams: (Sender<StreamEnd>, Receiver<StreamEnd>),
-    streams_out: usize,
+    /// Results of TCP queries.
+    tcp_results: (Sender<TcpResult>, Receiver<TcpResult>),
+    tcp_in_flight: usize,
     seed: u64,
 }
 
-impl Client {
-    pub fn new(names: Names, inputs: Sender<Input>, in_force: Arc<InForce>, seed: u64) -> Client {
-        Client {
+impl NameFollower {
+    /// Creates the follower; it reads the names and resolvers from `in_force`.
+    pub fn new(names: NameTable, inputs: Sender<Input>, in_force: Arc<InForce>, seed: u64) -> NameFollower {
+        NameFollower {
             names,
             inputs,
             in_force,
@@ -65,44 +69,45 @@
             resolver: Resolver::new(&[], Limits::default(), seed),
             servers: Vec::new(),
             sockets: BTreeMap::new(),
-            streams: unbounded(),
-            streams_out: 0,
+            tcp_results: unbounded(),
+            tcp_in_flight: 0,
             seed,
         }
     }
 
-    /// Follows for as long as the program runs.
+    /// Starts the thread, which runs as long as the process.
     pub fn start(mut self) -> std::io::Result<()> {
         let run = move || loop {
-            // A panic must not end the hearing of drains for good.
-            if catch_unwind(AssertUnwindSafe(|| self.turn())).is_err() {
-                eprintln!("resolver: a panic; all names are asked for anew");
+            // A panic must not permanently stop the detection of drains.
+            if catch_unwind(AssertUnwindSafe(|| self.step())).is_err() {
+                eprintln!("resolver: recovered from a panic; all names are resolved again");
                 self.sockets.clear();
                 self.servers.clear();
-                std::thread::sleep(LOOK);
+                std::thread::sleep(MAX_WAIT);
             }
         };
         spawn("resolver", run).map(drop)
     }
 
-    fn turn(&mut self) {
+    /// One round: applies the configuration, sends due queries and processes responses.
+    fn step(&mut self) {
         let state = self.in_force.now();
-        self.take_over(&state);
+        self.apply_config(&state);
         let now = clock::steady_ms();
         self.resolver.tick(now);
         for name in &mut self.followed {
             name.follow.tick(&mut self.resolver, now);
         }
-        self.carry_out(now);
+        self.process_outputs(now);
         let follow = self.followed.iter().filter_map(|n| n.follow.due());
         let due = follow.chain(self.resolver.due()).fold(f64::INFINITY, f64::min);
-        let most = if self.streams_out > 0 { LOOK_TCP } else { LOOK };
-        let wait = Duration::from_secs_f64(((due - now) / 1000.0).clamp(0.0, most.as_secs_f64()));
+        let max_wait = if self.tcp_in_flight > 0 { MAX_WAIT_WITH_TCP } else { MAX_WAIT };
+        let wait = Duration::from_secs_f64(((due - now) / 1000.0).clamp(0.0, max_wait.as_secs_f64()));
         self.receive(wait);
     }
 
-    /// Names and servers as they are in force now.
-    fn take_over(&mut self, state: &State) {
+    /// Applies the names and resolvers of the configuration in force.
+    fn apply_config(&mut self, state: &State) {
         let servers = state.config.resolvers();
         if servers != self.servers {
             self.resolver =
@@ -115,25 +120,25 @@
         if upstreams.iter().eq(self.followed.iter().map(|n| &n.upstream)) {
             return;
         }
-        let (keep, gone): (Vec<Name>, Vec<Name>) =
+        let (kept, removed): (Vec<FollowedName>, Vec<FollowedName>) =
             std::mem::take(&mut self.followed).into_iter().partition(|n| upstreams.contains(&n.upstream));
-        for name in gone {
-            let _ = self.tell(&name.upstream, &[]);
+        for name in removed {
+            let _ = self.update_members(&name.upstream, &[]);
         }
-        let mut keep: Vec<Option<Name>> = keep.into_iter().map(Some).collect();
+        let mut kept: Vec<Option<FollowedName>> = kept.into_iter().map(Some).collect();
         for upstream in upstreams {
-            let old = keep.iter_mut().find(|n| n.as_ref().is_some_and(|n| n.upstream == *upstream));
-            let name = old.and_then(Option::take).or_else(|| {
-                // The file has been checked: what can't be followed does not come into force.
+            let existing = kept.iter_mut().find(|n| n.as_ref().is_some_and(|n| n.upstream == *upstream));
+            let name = existing.and_then(Option::take).or_else(|| {
+                // The configuration has been validated: a name that can't be followed never comes into force.
                 let follow = Follow::new(upstream.source().ok()?);
-                Some(Name { upstream: upstream.clone(), follow, told_bad: false })
+                Some(FollowedName { upstream: upstream.clone(), follow, invalid_reported: false })
             });
             self.followed.extend(name);
         }
     }
 
-    /// Does what the machine has decided.
-    fn carry_out(&mut self, now: f64) {
+    /// Carries out the outputs of the resolver's state machine.
+    fn process_outputs(&mut self, now: f64) {
         while let Some(output) = self.resolver.poll() {
             match output {
                 Output::Udp { ask, to, bytes } => match send_udp(to, &bytes) {
@@ -143,10 +148,10 @@
                 Output::Tcp { ask, to, bytes } => self.send_tcp(ask, to, bytes, now),
                 Output::Forget(ask) => drop(self.sockets.remove(&ask)),
                 Output::Done { lookup, result } => {
-                    for place in 0..self.followed.len() {
-                        let follow = &mut self.followed[place].follow;
+                    for index in 0..self.followed.len() {
+                        let follow = &mut self.followed[index].follow;
                         if let Some(news) = follow.done(&mut self.resolver, lookup, &result, now) {
-                            self.news(place, news);
+                            self.report_news(index, news);
                             break;
                         }
                     }
@@ -155,34 +160,42 @@
         }
     }
 
-    fn news(&mut self, place: usize, news: News) {
-        let shown = self.followed[place].follow.shown();
-        if let Some(why) = news.failing {
-            eprintln!("resolver: {shown}: {why}; what is known stays, what drains goes on draining");
+    /// Logs what has changed for a name, and updates its members.
+    fn report_news(&mut self, index: usize, news: News) {
+        let shown = self.followed[index].follow.shown();
+        if let Some(reason) = news.failing {
+            eprintln!("resolver: {shown}: {reason}; known addresses are kept, draining ones keep draining");
         }
         if news.recovered {
-            eprintln!("resolver: {shown} is answered again");
+            eprintln!("resolver: {shown} resolves again");
         }
         if let Some(server) = news.strange.and_then(|s| self.resolver.server(s)) {
-            eprintln!("resolver: {shown}: {server} tells what nobody else has told; not believed for 30 s");
+            eprintln!(
+                "resolver: {shown}: {server} gives an answer that no other gave; not believed for 30 s"
+            );
         }
         if news.changed {
-            let endpoints = self.followed[place].follow.endpoints();
-            let upstream = self.followed[place].upstream.clone();
-            if let Err(why) = self.tell(&upstream, &endpoints) {
-                if !std::mem::replace(&mut self.followed[place].told_bad, true) {
-                    eprintln!("resolver: {shown} can't be used: {why} is not in the settings");
+            let endpoints = self.followed[index].follow.endpoints();
+            let upstream = self.followed[index].upstream.clone();
+            if let Err(reason) = self.update_members(&upstream, &endpoints) {
+                if !std::mem::replace(&mut self.followed[index].invalid_reported, true) {
+                    eprintln!("resolver: {shown} can't be used: {reason} is not in the settings");
                 }
             }
         }
     }
 
-    fn tell(&mut self, upstream: &Upstream, endpoints: &[elmtide_dns::stub::Endpoint]) -> Result<(), String> {
+    /// Sends the members of a name to the engine. Fails if its zone or kind is not in the settings.
+    fn update_members(
+        &mut self,
+        upstream: &Upstream,
+        endpoints: &[elmtide_dns::stub::Endpoint],
+    ) -> Result<(), String> {
         let zone = self.names.zone(&upstream.zone).ok_or_else(|| format!("zone {:?}", upstream.zone))?;
         let kind = self.names.kind(&upstream.kind).ok_or_else(|| format!("kind {:?}", upstream.kind))?;
-        if let Some(gone) = self.resolved.update(upstream, zone, kind, endpoints) {
-            for at in gone {
-                eprintln!("resolver: {}/{at} is draining: no answer for its name holds it", upstream.name);
+        if let Some(removed) = self.resolved.update(upstream, zone, kind, endpoints) {
+            for at in removed {
+                eprintln!("resolver: {}/{at} is draining: no answer for its name contains it", upstream.name);
             }
             let (members_update, event) = self.resolved.told();
             let _ =
@@ -191,7 +204,7 @@
         Ok(())
     }
 
-    /// Waits for answers, and takes in those that are there.
+    /// Waits for responses and processes those that have arrived.
     fn receive(&mut self, wait: Duration) {
         let timeout = Timespec { tv_sec: 0, tv_nsec: i64::from(wait.subsec_nanos()) };
         let asks: Vec<AskId> = self.sockets.keys().copied().collect();
@@ -202,59 +215,59 @@
         let now = clock::steady_ms();
         let mut bytes = vec![0; 4096];
         for ask in asks.into_iter().zip(ready).filter(|(_, ready)| *ready).map(|(ask, _)| ask) {
-            // A few at a time: who floods one socket must not keep the others waiting.
+            // A few at a time: a flood on one socket must not starve the others.
             for _ in 0..8 {
                 let Some(socket) = self.sockets.get(&ask) else { break };
                 match socket.recv(&mut bytes) {
                     Ok(got) => self.resolver.datagram(ask, &bytes[..got], now),
-                    Err(why) if why.kind() == std::io::ErrorKind::WouldBlock => break,
+                    Err(reason) if reason.kind() == std::io::ErrorKind::WouldBlock => break,
                     Err(_) => {
                         self.resolver.unreachable(ask, now);
                         break;
                     }
                 }
-                self.carry_out(now);
+                self.process_outputs(now);
             }
         }
-        while let Ok((ask, message)) = self.streams.1.try_recv() {
-            self.streams_out -= 1;
+        while let Ok((ask, message)) = self.tcp_results.1.try_recv() {
+            self.tcp_in_flight -= 1;
             self.resolver.stream(ask, message.as_deref(), now);
         }
-        self.carry_out(now);
+        self.process_outputs(now);
     }
 
     fn send_tcp(&mut self, ask: AskId, to: SocketAddr, bytes: Vec<u8>, now: f64) {
-        if self.streams_out >= TCP_ASKS {
+        if self.tcp_in_flight >= MAX_TCP_QUERIES {
             return self.resolver.stream(ask, None, now);
         }
-        let ends = self.streams.0.clone();
+        let results = self.tcp_results.0.clone();
         let run = move || {
-            let message = catch_unwind(|| ask_tcp(to, &bytes)).ok().and_then(Result::ok);
-            let _ = ends.send((ask, message));
+            let message = catch_unwind(|| query_tcp(to, &bytes)).ok().and_then(Result::ok);
+            let _ = results.send((ask, message));
         };
         match spawn("resolver-tcp", run) {
-            Ok(_) => self.streams_out += 1,
+            Ok(_) => self.tcp_in_flight += 1,
             Err(_) => self.resolver.stream(ask, None, now),
         }
     }
 }
 
-/// A socket of its own for each question: its port is new, and what answers an old one does not come here.
+/// A separate socket for each query: its port is new, and responses to earlier queries do not reach it.
 fn send_udp(to: SocketAddr, bytes: &[u8]) -> std::io::Result<UdpSocket> {
-    let from: IpAddr =
+    let local_address: IpAddr =
         if to.is_ipv4() { [127, 0, 0, 1].into() } else { std::net::Ipv6Addr::LOCALHOST.into() };
-    let socket = UdpSocket::bind((from, 0))?;
+    let socket = UdpSocket::bind((local_address, 0))?;
     socket.connect(to)?;
     socket.set_nonblocking(true)?;
     socket.send(bytes)?;
     Ok(socket)
 }
 
-fn ask_tcp(to: SocketAddr, bytes: &[u8]) -> std::io::Result<Vec<u8>> {
-    let mut stream = TcpStream::connect_timeout(&to, TCP)?;
+fn query_tcp(to: SocketAddr, bytes: &[u8]) -> std::io::Result<Vec<u8>> {
+    let mut stream = TcpStream::connect_timeout(&to, TCP_TIMEOUT)?;
     stream.set_nodelay(true)?;
-    stream.set_read_timeout(Some(TCP))?;
-    stream.set_write_timeout(Some(TCP))?;
+    stream.set_read_timeout(Some(TCP_TIMEOUT))?;
+    stream.set_write_timeout(Some(TCP_TIMEOUT))?;
     let mut framed = (bytes.len() as u16).to_be_bytes().to_vec();
     framed.extend_from_slice(bytes);
     stream.write_all(&framed)?;
--- a/front/src/client/shortage.rs
+++ b/front/src/client/shortage.rs
@@ -1,46 +1,46 @@
-//! Whether this machine could open connections a moment ago.
+//! Records whether this machine recently lacked the resources to open a connection.
 //!
-//! While it can't, a request is not kept waiting for a connection that will not come: it is rejected at once, and told when to
-//! return.
+//! During a shortage a request does not wait for a connection that cannot be opened: it is rejected at once and told
+//! when to retry.
 
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A shortage is taken to last for so long after it was last seen.
-const MEMORY: Duration = Duration::from_millis(100);
+/// How long a shortage is assumed to last after it was last reported.
+const SHORTAGE_DURATION: Duration = Duration::from_millis(100);
 
-/// The last shortage that a connection has given up over, shared by all connections.
+/// The last shortage that made a connection give up, shared by all connections.
 #[derive(Clone, Debug)]
 pub struct Shortage {
-    epoch: Instant,
-    /// Microseconds since the epoch until which it is taken to last.
-    until_us: Arc<AtomicU64>,
+    created_at: Instant,
+    /// End of the shortage, in microseconds since creation.
+    active_until_us: Arc<AtomicU64>,
 }
 
 impl Shortage {
-    /// None has been seen yet.
+    /// Creates the record, with no shortage reported.
     pub fn new(now: Instant) -> Shortage {
-        Shortage { epoch: now, until_us: Arc::default() }
+        Shortage { created_at: now, active_until_us: Arc::default() }
     }
 
-    fn since_epoch(&self, now: Instant) -> u64 {
-        now.saturating_duration_since(self.epoch).as_micros() as u64
+    fn micros_since_creation(&self, now: Instant) -> u64 {
+        now.saturating_duration_since(self.created_at).as_micros() as u64
     }
 
-    /// A connection could not be opened for want of something on this machine.
-    pub fn observe(&self, now: Instant) {
-        self.until_us.fetch_max(self.since_epoch(now + MEMORY), Relaxed);
+    /// Reports that a connection could not be opened because this machine lacked a resource.
+    pub fn report(&self, now: Instant) {
+        self.active_until_us.fetch_max(self.micros_since_creation(now + SHORTAGE_DURATION), Relaxed);
     }
 
-    /// A connection was opened.
-    pub fn end(&self) {
-        self.until_us.store(0, Relaxed);
+    /// Clears the shortage, since a connection was opened.
+    pub fn clear(&self) {
+        self.active_until_us.store(0, Relaxed);
     }
 
-    /// Whether it lasts, as far as is known.
-    pub fn lasts(&self, now: Instant) -> bool {
-        self.since_epoch(now) < self.until_us.load(Relaxed)
+    /// Whether the shortage is assumed to last.
+    pub fn is_active(&self, now: Instant) -> bool {
+        self.micros_since_creation(now) < self.active_until_us.load(Relaxed)
     }
 }
 
--- a/front/src/client/start_times.rs
+++ b/front/src/client/start_times.rs
@@ -1,42 +1,45 @@
-//! When servers started, on the time line of this process.
+//! The start times of servers, on this process's clock.
 //!
-//! Invariant: a server has one moment for as long as it is listed with one stamp; a list that names it again does not move it. No
-//! moment is earlier than the start, so that no server is taken for warm too soon, whichever clock was stepped.
+//! Invariant: while a server is listed with the same timestamp, its local start time does not change; repeated lists
+//! do not move it. No local start time is earlier than the real start, so no server is considered warm too early,
+//! whichever clock was stepped.
 
 use std::collections::BTreeMap;
 
 use elmtide::{Availability, Event, ListUpdate, Listing, MemberId, Ms};
 
-/// A start as a list has stamped it with Unix time, and where that lies on this process's line.
+/// A start time as listed in Unix time, and the same time on this process's clock.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Start {
-    stamped: Ms,
-    placed: Ms,
+struct StartTime {
+    unix_time: Ms,
+    local_time: Ms,
 }
 
-/// The starts of all servers in the list.
+/// The start times of all listed servers.
 #[derive(Debug, Default)]
-pub struct StartTimes(BTreeMap<MemberId, Start>);
+pub struct StartTimes(BTreeMap<MemberId, StartTime>);
 
 impl StartTimes {
-    /// Puts the stamps of a list event on this process's line; `place` does so for one that has not been seen before.
-    pub fn place(&mut self, event: &mut Event, place: impl Fn(Ms) -> Ms) {
+    /// Converts the start times of a list event to this process's clock. `to_local` is called only for timestamps
+    /// that have not been seen before.
+    pub fn convert(&mut self, event: &mut Event, to_local: impl Fn(Ms) -> Ms) {
         let Event::List { update, entries } = event else { return };
         for listing in entries.iter_mut() {
             listing.started_at =
-                listing.started_at.map(|stamped| self.placed(listing.member, stamped, &place));
+                listing.started_at.map(|unix_time| self.local_time_of(listing.member, unix_time, &to_local));
         }
-        self.forget_absent(*update, entries);
+        self.remove_unlisted(*update, entries);
     }
 
-    fn placed(&mut self, member: MemberId, stamped: Ms, place: impl Fn(Ms) -> Ms) -> Ms {
-        let known = self.0.get(&member).filter(|start| start.stamped == stamped);
-        let start = known.copied().unwrap_or_else(|| Start { stamped, placed: place(stamped) });
+    fn local_time_of(&mut self, member: MemberId, unix_time: Ms, to_local: impl Fn(Ms) -> Ms) -> Ms {
+        let known = self.0.get(&member).filter(|start| start.unix_time == unix_time);
+        let start =
+            known.copied().unwrap_or_else(|| StartTime { unix_time, local_time: to_local(unix_time) });
         self.0.insert(member, start);
-        start.placed
+        start.local_time
     }
 
-    fn forget_absent(&mut self, update: ListUpdate, entries: &[Listing]) {
+    fn remove_unlisted(&mut self, update: ListUpdate, entries: &[Listing]) {
         for gone in entries.iter().filter(|listing| listing.availability == Availability::Gone) {
             self.0.remove(&gone.member);
         }
--- a/front/src/client/streams.rs
+++ b/front/src/client/streams.rs
@@ -1,10 +1,10 @@
-//! What is open on one connection to a cache node: who waits for which answer, and how far each request has come.
-//! Values and moments in, decisions out: no socket, no thread, no clock. `connection` has the threads around it.
+//! The streams on one connection to a cache node: which answer each caller awaits, and how far each request has come.
+//! Pure state without sockets, threads or a clock; `connection` runs the threads around it.
 //!
 //! - A request counts as possibly run from the moment its bytes are handed to the writer, never later.
-//! - What is taken back before that is never written, though its bytes lie in the writer's queue.
-//! - Where a request must not run twice, a tag that has had its answer here is not used here again: a second answer
-//!   to it, some milliseconds late, would be taken for the answer to the next attempt.
+//! - A request withdrawn before that is never written, even though its bytes are in the writer's queue.
+//! - If a request must not run twice, a tag that has been answered on this connection is not used on it again: a
+//!   duplicate answer that arrives milliseconds late would be matched to the next attempt.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
@@ -15,414 +15,444 @@
 use crate::exchange::{AttemptKey, Progress, Token};
 use crate::memory::figures::ClassTally;
 
-/// An answer to what was given up may still cross; its id is kept free of others for so long.
-const FORGET_GIVEN_UP: Duration = Duration::from_secs(10);
-/// Tags that have had their answers, remembered at most.
-const ANSWERED: usize = 64;
-/// A connection that owes an answer is looked at in turns, `Limits::look` apart. Turns are counted and not time:
-/// a process that was stopped for a while finds many seconds gone and the answers not read yet.
-/// After so many without a byte it is asked whether it is still there, at least (`Peer::patience`) and at most,
-pub const QUIET: (u32, u32) = (4, 16);
-/// after so many without an answer to that it is of no use any more,
-const MUTE: u32 = 4;
-/// nor is it after so many in the middle of an answer, or of a line that does not end.
-const STALLED: u32 = 8;
-/// What has waited for a peer that takes in nothing is not sent any more after this part of the shortest time from which on
-/// what is told binds (the settings' grace of purges and of drains): it was decided before what may have been told since.
-const STALE: f64 = 0.7;
-/// Between these. The rules' own slack is 50 ms.
-const STALE_RANGE: (Duration, Duration) = (Duration::from_millis(40), Duration::from_millis(700));
-
-/// How long an attempt may wait to be written, by the times from which on what is told binds.
-pub fn stale(graces: impl IntoIterator<Item = Option<elmtide::Ms>>) -> Duration {
+/// How long the tag of an abandoned request stays reserved, since its answer may still arrive.
+const ABANDONED_TAG_RETENTION: Duration = Duration::from_secs(10);
+/// Maximum number of answered tags that are remembered.
+const MAX_ANSWERED_TAGS: usize = 64;
+/// Bounds of the number of silent checks before a ping, see `Peer::checks_before_ping`. A connection with an
+/// unanswered request is checked at a fixed interval (`CONNECTION_CHECK_INTERVAL_MS` of the engine). Checks are
+/// counted instead of time, because a process that was stopped for a while finds many seconds gone and the answers
+/// not read yet.
+pub const MIN_CHECKS_BEFORE_PING: u32 = 4;
+pub const MAX_CHECKS_BEFORE_PING: u32 = 16;
+/// Checks without an answer to a ping after which the connection is of no further use. After as many in the middle of
+/// an answer that nobody awaits, it accepts no new requests.
+const MAX_SILENT_CHECKS: u32 = 4;
+/// Checks in the middle of an answer, or of a line that does not end, after which the connection is of no further
+/// use.
+const MAX_STALLED_CHECKS: u32 = 8;
+/// A request that waits for a peer that accepts no bytes is no longer sent after this fraction of the shortest grace
+/// period (of purges and drains, in the settings): it was decided before purges and drains that may have been
+/// announced since and are binding after that period.
+const WRITE_DELAY_FRACTION: f64 = 0.7;
+/// Bounds of that delay. The platform's rules allow 50 ms of slack.
+const MIN_WRITE_DELAY: Duration = Duration::from_millis(40);
+const MAX_WRITE_DELAY: Duration = Duration::from_millis(700);
+
+/// The time for which an attempt may wait to be written, from the grace periods after which purges and drains are
+/// binding.
+pub fn max_write_delay(graces: impl IntoIterator<Item = Option<elmtide::Ms>>) -> Duration {
     let graces = graces.into_iter().flatten().filter(|ms| ms.is_finite());
-    let least = graces.fold(f64::INFINITY, f64::min);
-    let (from, to) = STALE_RANGE;
-    Duration::try_from_secs_f64(least.max(0.0) * STALE / 1000.0).unwrap_or(to).clamp(from, to)
+    let shortest = graces.fold(f64::INFINITY, f64::min);
+    let (min, max) = (MIN_WRITE_DELAY, MAX_WRITE_DELAY);
+    Duration::try_from_secs_f64(shortest.max(0.0) * WRITE_DELAY_FRACTION / 1000.0)
+        .unwrap_or(max)
+        .clamp(min, max)
 }
 
-/// What an answer on this connection belongs to.
+/// What the answer of a stream is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Purpose {
     Attempt(AttemptKey),
     Probe(MemberId),
-    /// Whether the connection is still of use.
+    /// A check whether the connection still works.
     Ping,
-    GivenUp,
+    Abandoned,
 }
 
 impl Purpose {
-    /// Somebody waits for the answer.
-    fn is_wanted(self) -> bool {
+    /// Whether somebody awaits the answer.
+    fn is_awaited(self) -> bool {
         matches!(self, Purpose::Attempt(_) | Purpose::Probe(_))
     }
 }
 
-/// How much else may be open on a connection that takes something.
+/// How many other streams a connection may have open for it to accept a request.
 #[derive(Clone, Copy, Debug)]
-pub struct Room {
-    /// So many at most, with this one.
-    pub streams: usize,
-    /// Nothing else: what breaks the connection over another's answer would take this with it, and it must not
-    /// be sent again.
-    pub alone: bool,
+pub struct Sharing {
+    /// Maximum number of open streams, including this one.
+    pub max_streams: usize,
+    /// No other stream: a malformed answer to another request would break the connection and this request with it,
+    /// and this one must not be sent again.
+    pub exclusive: bool,
 }
 
-/// A request that is to go out on a connection.
+/// A request to be sent on a connection.
 #[derive(Clone, Debug)]
-pub struct Opening<'a> {
+pub struct NewStream<'a> {
     pub tag: &'a Token,
     pub purpose: Purpose,
-    pub room: Room,
-    /// Where an attempt that is written whole is counted.
+    pub sharing: Sharing,
+    /// Where the attempt is counted once it is fully written.
     pub tally: Option<&'a Arc<ClassTally>>,
-    /// It is not begun to be written after this moment.
+    /// Writing must not begin after this time.
     pub write_by: Option<Instant>,
-    /// It may not simply be repeated.
+    /// The request is not safe to repeat.
     pub guarded: bool,
-    /// Who is to serve it, and who fills a miss.
+    /// The member that serves the request and the member that fills a miss.
     pub members: [Option<MemberId>; 2],
 }
 
-/// Names one opening of a connection: bytes in the writer's queue belong to it and to no later one of the same tag.
+/// Identifies a stream: bytes in the writer's queue belong to this stream and not to a later one with the same tag.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Turn(u64);
+pub struct StreamId(u64);
 
+/// One request on the connection that has not been answered yet.
 #[derive(Debug)]
-pub struct Slot {
+pub struct Stream {
     pub purpose: Purpose,
     pub progress: Progress,
     pub since: Instant,
-    turn: Turn,
+    id: StreamId,
     tally: Option<Arc<ClassTally>>,
     write_by: Option<Instant>,
-    alone: bool,
+    exclusive: bool,
     guarded: bool,
     members: [Option<MemberId>; 2],
 }
 
-/// Whether bytes of the writer's queue are to be written.
+/// Whether queued bytes are to be written.
 #[derive(Debug)]
-pub enum Admitted {
-    /// With the counts to add the attempt to, once it is written whole.
-    Yes(Option<Arc<ClassTally>>),
-    /// Nobody waits for it any more.
-    Skipped,
-    /// It has waited too long: it ends unwritten.
-    Overdue(Purpose),
+pub enum WriteDecision {
+    /// Write them; the attempt is added to these counters once it is fully written.
+    Write(Option<Arc<ClassTally>>),
+    /// Nobody awaits the answer any more.
+    Skip,
+    /// The request waited too long and ends unwritten.
+    Expired(Purpose),
     Closed,
 }
 
-/// What the reading side is in the middle of.
+/// What the reader is in the middle of.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Reading {
-    Nothing,
-    /// The line that begins an answer.
+pub enum ReadState {
+    Idle,
+    /// The first line of an answer.
     Line,
-    /// The bytes of the answer to this tag.
+    /// The body of the answer to this tag.
     Answer(Token),
 }
 
-/// What is to be done about a connection that was looked at.
+/// What to do with a connection after a check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Look {
-    Leave,
+pub enum CheckResult {
+    Keep,
     /// Ask whether the node is still there.
-    Ask,
-    /// End it.
-    Shut,
+    SendPing,
+    /// Close it.
+    Close,
 }
 
+/// All streams of a connection, and the state of its reader.
 #[derive(Debug)]
 pub struct Streams {
-    slots: HashMap<Token, Slot>,
-    /// Tags of what must not run twice that have had an answer here.
-    answered: VecDeque<Token>,
-    turns: u64,
+    streams: HashMap<Token, Stream>,
+    /// Tags of answered requests that must not run twice.
+    answered_tags: VecDeque<Token>,
+    last_id: u64,
     closed: bool,
-    /// By this side, over the other side's silence.
-    is_shut_by_us: bool,
-    /// Takes nothing new; closed once nothing is open.
+    /// Closed by this side because the other side was silent.
+    is_closed_by_us: bool,
+    /// Accepts no new requests; closed once no stream is open.
     retired: bool,
     last_used: Instant,
-    /// What has waited so long is not written any more.
-    stale: Duration,
-    reading: Reading,
-    /// Looks that found the reading side in the middle of one and the same thing that nobody waits for.
-    stuck: u32,
-    /// Reads at the last look, looks since then, and how many until it is asked.
-    seen: u64,
-    quiet: u32,
-    usual_patience: u32,
-    patience: u32,
-    asked: bool,
+    /// A request that has waited longer to be written is no longer written.
+    max_write_delay: Duration,
+    read_state: ReadState,
+    /// Consecutive checks that found the reader in the middle of the same line, or of the same answer that nobody
+    /// awaits.
+    stuck_checks: u32,
+    /// Number of reads at the last check.
+    reads_at_last_check: u64,
+    /// Checks since the last read.
+    silent_checks: u32,
+    /// Silent checks before a ping at first, and at present: each ping after which bytes came doubles the number.
+    initial_checks_before_ping: u32,
+    checks_before_ping: u32,
+    ping_sent: bool,
 }
 
 impl Streams {
-    pub fn new(patience: u32, stale: Duration, now: Instant) -> Streams {
+    /// Creates the state of a new connection.
+    pub fn new(checks_before_ping: u32, max_write_delay: Duration, now: Instant) -> Streams {
         Streams {
-            slots: HashMap::new(),
-            answered: VecDeque::new(),
-            turns: 0,
+            streams: HashMap::new(),
+            answered_tags: VecDeque::new(),
+            last_id: 0,
             closed: false,
-            is_shut_by_us: false,
+            is_closed_by_us: false,
             retired: false,
             last_used: now,
-            stale,
-            reading: Reading::Nothing,
-            stuck: 0,
-            seen: 0,
-            quiet: 0,
-            usual_patience: patience,
-            patience,
-            asked: false,
+            max_write_delay,
+            read_state: ReadState::Idle,
+            stuck_checks: 0,
+            reads_at_last_check: 0,
+            silent_checks: 0,
+            initial_checks_before_ping: checks_before_ping,
+            checks_before_ping,
+            ping_sent: false,
         }
     }
 
-    /// Whether this connection can take it now.
-    pub fn accepts(&self, opening: &Opening<'_>) -> bool {
-        let open = self.slots.values().filter(|s| s.purpose.is_wanted()).count();
-        let room = opening.room;
-        let taken = if room.alone { open > 0 } else { self.slots.values().any(|s| s.alone) };
-        let used =
-            self.slots.contains_key(opening.tag) || (opening.guarded && self.answered.contains(opening.tag));
-        !(self.closed || self.retired || taken || used || open >= room.streams || self.is_busy(opening, open))
+    /// Whether this connection can accept the request now.
+    pub fn can_accept(&self, new_stream: &NewStream<'_>) -> bool {
+        let open = self.streams.values().filter(|s| s.purpose.is_awaited()).count();
+        let sharing = new_stream.sharing;
+        let is_occupied =
+            if sharing.exclusive { open > 0 } else { self.streams.values().any(|s| s.exclusive) };
+        let is_tag_used = self.streams.contains_key(new_stream.tag)
+            || (new_stream.guarded && self.answered_tags.contains(new_stream.tag));
+        !(self.closed
+            || self.retired
+            || is_occupied
+            || is_tag_used
+            || open >= sharing.max_streams
+            || self.is_blocked_by_read(new_stream, open))
     }
 
-    /// What is coming may break the connection before it is whole, and the opening must not be broken by it. The beginning of
-    /// a line on an idle connection belongs to nobody: it ends the connection, or keeps all else waiting.
-    fn is_busy(&self, opening: &Opening<'_>, open: usize) -> bool {
-        match &self.reading {
-            Reading::Nothing => false,
-            Reading::Line => open == 0 || opening.guarded,
-            Reading::Answer(_) => opening.guarded,
+    /// Whether the answer being received keeps the request off this connection: it may break the connection before it
+    /// is complete, which must not affect the new request. The beginning of a line on an idle connection belongs to
+    /// no request: it breaks the connection, or blocks everything behind it.
+    fn is_blocked_by_read(&self, new_stream: &NewStream<'_>, open: usize) -> bool {
+        match &self.read_state {
+            ReadState::Idle => false,
+            ReadState::Line => open == 0 || new_stream.guarded,
+            ReadState::Answer(_) => new_stream.guarded,
         }
     }
 
-    pub fn open(&mut self, opening: &Opening<'_>, now: Instant) -> Turn {
-        self.turns += 1;
-        let turn = Turn(self.turns);
-        let slot = Slot {
-            purpose: opening.purpose,
+    /// Opens a stream for a request that [`Streams::can_accept`] has allowed.
+    pub fn open(&mut self, new_stream: &NewStream<'_>, now: Instant) -> StreamId {
+        self.last_id += 1;
+        let id = StreamId(self.last_id);
+        let stream = Stream {
+            purpose: new_stream.purpose,
             progress: Progress::NotConnected,
             since: now,
-            turn,
-            tally: opening.tally.cloned(),
-            write_by: opening.write_by,
-            alone: opening.room.alone,
-            guarded: opening.guarded,
-            members: opening.members,
+            id,
+            tally: new_stream.tally.cloned(),
+            write_by: new_stream.write_by,
+            exclusive: new_stream.sharing.exclusive,
+            guarded: new_stream.guarded,
+            members: new_stream.members,
         };
-        self.slots.insert(opening.tag.clone(), slot);
+        self.streams.insert(new_stream.tag.clone(), stream);
         self.last_used = now;
-        turn
+        id
     }
 
-    /// The turn that the next opening has: its bytes are queued before it is open.
-    pub fn next_turn(&self) -> Turn {
-        Turn(self.turns + 1)
+    /// The id of the next stream: its bytes are queued before it is opened.
+    pub fn next_id(&self) -> StreamId {
+        StreamId(self.last_id + 1)
     }
 
     fn is_attempt(&self, tag: &Token, key: AttemptKey) -> bool {
-        self.slots.get(tag).is_some_and(|s| s.purpose == Purpose::Attempt(key))
+        self.streams.get(tag).is_some_and(|s| s.purpose == Purpose::Attempt(key))
     }
 
-    /// Takes an attempt back of which nothing has been handed to the writer; false if that is not so.
+    /// Withdraws an attempt of which nothing has been handed to the writer; false if that is not possible.
     pub fn withdraw(&mut self, tag: &Token, key: AttemptKey) -> bool {
-        let unwritten = self.slots.get(tag).is_some_and(|s| s.progress == Progress::NotConnected);
-        let back = unwritten && self.is_attempt(tag, key);
-        if back {
-            self.slots.remove(tag);
+        let is_unwritten = self.streams.get(tag).is_some_and(|s| s.progress == Progress::NotConnected);
+        let withdrawn = is_unwritten && self.is_attempt(tag, key);
+        if withdrawn {
+            self.streams.remove(tag);
         }
-        back
+        withdrawn
     }
 
-    /// Takes back all attempts of which nothing has been handed to the writer and that such a member would serve or
-    /// fill.
-    pub fn withdraw_from(&mut self, lost: &dyn Fn(MemberId) -> bool) -> Vec<AttemptKey> {
-        let mut back = Vec::new();
-        self.slots.retain(|_, slot| match slot.purpose {
+    /// Withdraws all attempts that a lost member would serve or fill and of which nothing has been handed to the
+    /// writer.
+    pub fn withdraw_from(&mut self, is_lost: &dyn Fn(MemberId) -> bool) -> Vec<AttemptKey> {
+        let mut withdrawn = Vec::new();
+        self.streams.retain(|_, stream| match stream.purpose {
             Purpose::Attempt(key)
-                if slot.progress == Progress::NotConnected
-                    && slot.members.iter().flatten().any(|m| lost(*m)) =>
+                if stream.progress == Progress::NotConnected
+                    && stream.members.iter().flatten().any(|m| is_lost(*m)) =>
             {
-                back.push(key);
+                withdrawn.push(key);
                 false
             }
             _ => true,
         });
-        back
+        withdrawn
     }
 
-    /// Gives an attempt up; tells how far it had come, `None` if it is not open here. What had not been begun is
-    /// never written; of the rest the node is to be told.
-    pub fn give_up(&mut self, tag: &Token, key: AttemptKey, now: Instant) -> Option<Progress> {
+    /// Abandons an attempt and returns how far it had come; `None` if it is not open here. An attempt that was not
+    /// begun is never written; for others the caller is to tell the node.
+    pub fn abandon(&mut self, tag: &Token, key: AttemptKey, now: Instant) -> Option<Progress> {
         if self.withdraw(tag, key) {
             return Some(Progress::NotConnected);
         }
         if !self.is_attempt(tag, key) {
             return None;
         }
-        let slot = self.slots.get_mut(tag)?;
-        (slot.purpose, slot.since, slot.alone) = (Purpose::GivenUp, now, false);
-        Some(slot.progress)
+        let stream = self.streams.get_mut(tag)?;
+        (stream.purpose, stream.since, stream.exclusive) = (Purpose::Abandoned, now, false);
+        Some(stream.progress)
     }
 
-    /// Whether an attempt may have run. One that is not here any more has ended: how far it came is on its way.
+    /// Whether an attempt may have run. One that is no longer here has ended, and its progress has been reported.
     pub fn may_have_run(&self, tag: &Token, key: AttemptKey) -> bool {
-        !self.is_attempt(tag, key) || self.slots.get(tag).is_none_or(|s| s.progress.may_have_run())
+        !self.is_attempt(tag, key) || self.streams.get(tag).is_none_or(|s| s.progress.may_have_run())
     }
 
-    /// Takes nothing new from now on.
+    /// Accepts no new requests from now on.
     pub fn retire(&mut self) {
         self.retired = true;
     }
 
+    /// Whether the connection is closed.
     pub fn is_closed(&self) -> bool {
         self.closed
     }
 
-    /// Whether bytes are to be written: those of an opening, or what is said of one that is written already. An
-    /// opening counts as whole from before its write: the node may act on its last byte, and break the connection,
-    /// before the writer runs again. Only a write that falls short proves less.
-    pub fn admit(&mut self, tag: &Token, turn: Option<Turn>, now: Instant) -> Admitted {
+    /// Decides whether queued bytes are written: those of a new stream, or, without an id, a message about one that
+    /// has already been written. A request counts as fully written from before its write, because the node may act on
+    /// its last byte and break the connection before the writer runs again. Only an incomplete write proves
+    /// otherwise.
+    pub fn begin_write(&mut self, tag: &Token, id: Option<StreamId>, now: Instant) -> WriteDecision {
         if self.closed {
-            return Admitted::Closed;
+            return WriteDecision::Closed;
         }
-        let Some(slot) = self.slots.get_mut(tag) else { return Admitted::Skipped };
-        let Some(turn) = turn else { return Admitted::Yes(None) };
-        if slot.turn != turn {
-            return Admitted::Skipped;
+        let Some(stream) = self.streams.get_mut(tag) else { return WriteDecision::Skip };
+        let Some(id) = id else { return WriteDecision::Write(None) };
+        if stream.id != id {
+            return WriteDecision::Skip;
         }
-        if now.saturating_duration_since(slot.since) > self.stale || slot.write_by.is_some_and(|by| now > by)
+        if now.saturating_duration_since(stream.since) > self.max_write_delay
+            || stream.write_by.is_some_and(|write_by| now > write_by)
         {
-            let purpose = slot.purpose;
-            self.slots.remove(tag);
-            return Admitted::Overdue(purpose);
+            let purpose = stream.purpose;
+            self.streams.remove(tag);
+            return WriteDecision::Expired(purpose);
         }
-        slot.progress = Progress::FullyWritten;
-        Admitted::Yes(slot.tally.take())
+        stream.progress = Progress::FullyWritten;
+        WriteDecision::Write(stream.tally.take())
     }
 
-    /// The write of this fell short.
-    pub fn fell_short(&mut self, tag: &Token) {
-        if let Some(slot) = self.slots.get_mut(tag) {
-            slot.progress = Progress::PartlyWritten;
+    /// The write of this request was incomplete.
+    pub fn mark_partly_written(&mut self, tag: &Token) {
+        if let Some(stream) = self.streams.get_mut(tag) {
+            stream.progress = Progress::PartlyWritten;
         }
     }
 
-    /// A line has begun to come and is not whole.
-    pub fn line_begins(&mut self) {
-        (self.reading, self.stuck) = (Reading::Line, 0);
+    /// Part of a line has been received.
+    pub fn line_started(&mut self) {
+        (self.read_state, self.stuck_checks) = (ReadState::Line, 0);
     }
 
-    /// The line of an answer has come: from here on it is cut if it is not whole.
-    pub fn answer_begins(&mut self, tag: &Token) {
-        if let Some(slot) = self.slots.get_mut(tag) {
-            slot.progress = Progress::PartlyAnswered;
+    /// The first line of an answer has been received: from here on the answer is truncated if the connection breaks.
+    pub fn answer_started(&mut self, tag: &Token) {
+        if let Some(stream) = self.streams.get_mut(tag) {
+            stream.progress = Progress::PartlyAnswered;
         }
-        (self.reading, self.stuck) = (Reading::Answer(tag.clone()), 0);
+        (self.read_state, self.stuck_checks) = (ReadState::Answer(tag.clone()), 0);
     }
 
-    /// An answer has come whole: whom it is for.
-    pub fn answer_ends(&mut self, tag: &Token, now: Instant) -> Option<Slot> {
-        (self.reading, self.stuck) = (Reading::Nothing, 0);
+    /// An answer is complete. Returns the stream that it answers.
+    pub fn answer_completed(&mut self, tag: &Token, now: Instant) -> Option<Stream> {
+        (self.read_state, self.stuck_checks) = (ReadState::Idle, 0);
         self.last_used = now;
-        let slot = self.slots.remove(tag)?;
-        if slot.guarded {
-            if self.answered.len() >= ANSWERED {
-                self.answered.pop_front();
+        let stream = self.streams.remove(tag)?;
+        if stream.guarded {
+            if self.answered_tags.len() >= MAX_ANSWERED_TAGS {
+                self.answered_tags.pop_front();
             }
-            self.answered.push_back(tag.clone());
+            self.answered_tags.push_back(tag.clone());
         }
-        Some(slot)
+        Some(stream)
     }
 
-    /// Whether the connection, read from so often by now, is still of use: a machine that has vanished, and an
-    /// answer that never comes or never ends, leave it open for good.
-    pub fn look(&mut self, reads: u64, may_ask: bool) -> Look {
+    /// Checks whether the connection, with this many reads so far, is still of use: a machine that has vanished, or
+    /// an answer that never arrives or never ends, would keep it open for ever.
+    pub fn check(&mut self, read_count: u64, may_ping: bool) -> CheckResult {
         if self.closed {
-            return Look::Leave;
+            return CheckResult::Keep;
         }
-        match &self.reading {
-            Reading::Line => self.stuck += 1,
-            Reading::Answer(tag) if self.slots.get(tag).is_none_or(|s| !s.purpose.is_wanted()) => {
-                self.stuck += 1;
-                // Nobody waits for what is coming, and all else would wait behind it.
-                self.retired |= self.stuck >= MUTE;
+        match &self.read_state {
+            ReadState::Line => self.stuck_checks += 1,
+            ReadState::Answer(tag) if self.streams.get(tag).is_none_or(|s| !s.purpose.is_awaited()) => {
+                self.stuck_checks += 1;
+                // Nobody awaits the answer being received, and everything else would wait behind it.
+                self.retired |= self.stuck_checks >= MAX_SILENT_CHECKS;
             }
-            Reading::Nothing | Reading::Answer(_) => self.stuck = 0,
+            ReadState::Idle | ReadState::Answer(_) => self.stuck_checks = 0,
         }
-        if self.reading == Reading::Line && self.stuck >= STALLED {
-            return self.shut();
+        if self.read_state == ReadState::Line && self.stuck_checks >= MAX_STALLED_CHECKS {
+            return self.close_silent();
         }
-        let out = |s: &Slot| matches!(s.purpose, Purpose::Attempt(_)) && s.progress.may_have_run();
-        let owes = self.slots.values().any(out);
-        if !owes || self.seen != reads {
-            self.patience = if !owes { self.usual_patience } else { self.patience };
-            (self.seen, self.quiet) = (reads, 0);
-            if std::mem::take(&mut self.asked) {
-                self.patience = (self.patience * 2).min(QUIET.1);
+        let in_flight = |s: &Stream| matches!(s.purpose, Purpose::Attempt(_)) && s.progress.may_have_run();
+        let is_answer_owed = self.streams.values().any(in_flight);
+        if !is_answer_owed || self.reads_at_last_check != read_count {
+            self.checks_before_ping =
+                if !is_answer_owed { self.initial_checks_before_ping } else { self.checks_before_ping };
+            (self.reads_at_last_check, self.silent_checks) = (read_count, 0);
+            if std::mem::take(&mut self.ping_sent) {
+                self.checks_before_ping = (self.checks_before_ping * 2).min(MAX_CHECKS_BEFORE_PING);
             }
-            return Look::Leave;
+            return CheckResult::Keep;
         }
-        self.quiet += 1;
-        let cut = self.slots.values().any(|s| s.progress == Progress::PartlyAnswered);
-        let useless = self.quiet >= if cut { STALLED } else { MUTE };
-        if (cut || self.asked) && useless {
-            return self.shut();
+        self.silent_checks += 1;
+        let is_answer_partial = self.streams.values().any(|s| s.progress == Progress::PartlyAnswered);
+        let is_limit_reached =
+            self.silent_checks >= if is_answer_partial { MAX_STALLED_CHECKS } else { MAX_SILENT_CHECKS };
+        if (is_answer_partial || self.ping_sent) && is_limit_reached {
+            return self.close_silent();
         }
-        if may_ask && !cut && !self.asked && self.quiet >= self.patience {
-            (self.asked, self.quiet) = (true, 0);
-            return Look::Ask;
+        if may_ping && !is_answer_partial && !self.ping_sent && self.silent_checks >= self.checks_before_ping
+        {
+            (self.ping_sent, self.silent_checks) = (true, 0);
+            return CheckResult::SendPing;
         }
-        Look::Leave
+        CheckResult::Keep
     }
 
-    /// Nothing more is expected of the other side.
-    fn shut(&mut self) -> Look {
-        (self.closed, self.is_shut_by_us) = (true, true);
-        Look::Shut
+    /// Closes the connection, as nothing more is expected from the other side.
+    fn close_silent(&mut self) -> CheckResult {
+        (self.closed, self.is_closed_by_us) = (true, true);
+        CheckResult::Close
     }
 
-    /// This side has closed it over the other side's silence.
-    pub fn is_shut_by_us(&self) -> bool {
-        self.is_shut_by_us
+    /// Whether this side closed the connection because the other side was silent.
+    pub fn is_closed_by_us(&self) -> bool {
+        self.is_closed_by_us
     }
 
-    /// The question whether the node is still there goes out under this tag.
-    pub fn asks(&mut self, ping: &Token, now: Instant) {
-        self.turns += 1;
-        let slot = Slot {
+    /// Registers a ping under this tag.
+    pub fn open_ping(&mut self, ping: &Token, now: Instant) {
+        self.last_id += 1;
+        let stream = Stream {
             purpose: Purpose::Ping,
             progress: Progress::FullyWritten,
             since: now,
-            turn: Turn(self.turns),
+            id: StreamId(self.last_id),
             tally: None,
             write_by: None,
-            alone: false,
+            exclusive: false,
             guarded: false,
             members: [None; 2],
         };
-        self.slots.insert(ping.clone(), slot);
+        self.streams.insert(ping.clone(), stream);
     }
 
-    /// Closes it if it has been idle for so long, or if it is retired and idle; true if that is done now.
-    pub fn sweep(&mut self, idle: Duration, now: Instant) -> bool {
-        let kept =
-            |s: &Slot| s.purpose.is_wanted() || now.saturating_duration_since(s.since) < FORGET_GIVEN_UP;
-        self.slots.retain(|_, s| kept(s));
-        let open = self.slots.values().any(|s| s.purpose.is_wanted());
-        let rests = now.saturating_duration_since(self.last_used) > idle;
-        let closes = !self.closed && !open && (self.retired || rests);
-        self.closed |= closes;
-        closes
+    /// Closes the connection if it has been idle for the timeout, or is retired and idle; true if it closes now.
+    pub fn close_if_idle(&mut self, idle_timeout: Duration, now: Instant) -> bool {
+        let is_kept = |s: &Stream| {
+            s.purpose.is_awaited() || now.saturating_duration_since(s.since) < ABANDONED_TAG_RETENTION
+        };
+        self.streams.retain(|_, s| is_kept(s));
+        let open = self.streams.values().any(|s| s.purpose.is_awaited());
+        let is_idle = now.saturating_duration_since(self.last_used) > idle_timeout;
+        let closes_now = !self.closed && !open && (self.retired || is_idle);
+        self.closed |= closes_now;
+        closes_now
     }
 
-    /// Ends it: what was open, and how far that had come.
+    /// Closes the connection and returns its open streams with their progress.
     pub fn close(&mut self) -> impl Iterator<Item = (Purpose, Progress)> {
         self.closed = true;
-        std::mem::take(&mut self.slots).into_values().map(|slot| (slot.purpose, slot.progress))
+        std::mem::take(&mut self.streams).into_values().map(|stream| (stream.purpose, stream.progress))
     }
 }
 
--- a/front/src/lifecycle/config.rs
+++ b/front/src/lifecycle/config.rs
@@ -7,9 +7,9 @@
 use elmtide::{ClassId, Ms, Repeat, Settings};
 use serde_json::Value;
 
-use crate::client::bus::Names;
-use crate::client::pool::Limits;
-use crate::client::streams::stale;
+use crate::client::bus::NameTable;
+use crate::client::pool::PoolLimits;
+use crate::client::streams::max_write_delay;
 use crate::exchange::Class;
 use crate::process::transient::retry_within;
 use crate::wire::bus::{self, Batch};
@@ -27,11 +27,11 @@
     pub seed: u64,
     pub sockets: usize,
     pub memory: usize,
-    pub names: Names,
+    pub names: NameTable,
     pub classes: Vec<Class>,
     pub known: Batch,
     pub settings: Settings,
-    pub pool: Limits,
+    pub pool: PoolLimits,
     pub longest_deadline: Ms,
     /// The keys that the file has, as a later file must have them too.
     pub shape: Shape,
@@ -122,14 +122,17 @@
             |key: &str, usual: f64| told["Limits"][key].as_f64().filter(|v| *v > 0.0).unwrap_or(usual);
         let sockets = root["limits"]["sockets"].as_u64().unwrap_or(1024) as usize;
         let memory = root["limits"]["memory_mb"].as_u64().filter(|mb| *mb > 0).unwrap_or(192) as usize;
-        let pool = Limits {
+        let pool = PoolLimits {
             connect_timeout: Duration::from_secs_f64(limit("ConnectTimeoutMs", 400.0) / 1000.0),
-            idle: Duration::from_secs_f64(limit("ConnIdleMs", 30_000.0) / 1000.0 * 0.6),
+            idle_timeout: Duration::from_secs_f64(limit("ConnIdleMs", 30_000.0) / 1000.0 * 0.6),
             streams_per_connection: limit("StreamsPerConn", 100.0) as usize,
-            connections: sockets / 3,
+            max_connections: sockets / 3,
             probes: settings.probes,
-            patience: Limits::patience(told["Deductions"]["Probe"].as_f64()),
-            stale: stale([settings.drain_grace, told["FamilyInfo"]["PurgeSlackMs"].as_f64()]),
+            checks_before_ping: PoolLimits::checks_before_ping(told["Deductions"]["Probe"].as_f64()),
+            max_write_delay: max_write_delay([
+                settings.drain_grace,
+                told["FamilyInfo"]["PurgeSlackMs"].as_f64(),
+            ]),
         };
         let management = match std::env::var("LB_MANAGEMENT").ok().filter(|t| !t.is_empty()) {
             Some(text) => {
@@ -146,7 +149,7 @@
             seed: u64::from_str_radix(seed, 16).map_err(|_| format!("seed is {seed:?}"))?,
             sockets,
             memory: memory << 20,
-            names: Names { zones: names(told, "Zones"), kinds: names(told, "Kinds") },
+            names: NameTable { zones: names(told, "Zones"), kinds: names(told, "Kinds") },
             classes,
             known,
             longest_deadline: settings.classes.iter().map(|c| c.deadline).fold(0.0, f64::max),
--- a/front/src/lifecycle/reload.rs
+++ b/front/src/lifecycle/reload.rs
@@ -7,7 +7,7 @@
 
 use crossbeam_channel::Sender;
 
-use crate::client::bus::Whereabouts;
+use crate::client::bus::BusAddress;
 use crate::exchange::{Class, Input, Reconfiguration};
 use crate::lifecycle::config::{Config, Shape};
 use crate::memory::counters::Counters;
@@ -19,7 +19,7 @@
     pub read: R,
     pub name: String,
     pub listen: SocketAddr,
-    pub bus: Arc<Whereabouts>,
+    pub bus: Arc<BusAddress>,
     pub counters: Arc<Counters>,
     /// The keys of the file at the start.
     pub shape: Shape,
--- a/front/src/lifecycle/second_front.rs
+++ b/front/src/lifecycle/second_front.rs
@@ -68,8 +68,12 @@
     ) -> Result<SecondFront, String> {
         let SecondFrontContext { config, inputs, counters, intake, clients, longest } = context;
         let in_force = Arc::new(InForce::default());
-        let names =
-            resolver::Client::new(config.names.clone(), inputs.clone(), in_force.clone(), random_secret());
+        let names = resolver::NameFollower::new(
+            config.names.clone(),
+            inputs.clone(),
+            in_force.clone(),
+            random_secret(),
+        );
         names.start().map_err(|e| format!("resolver thread: {e}"))?;
         let shared = dns::DnsContext {
             counts: Arc::default(),
--- a/front/src/lifecycle/serve.rs
+++ b/front/src/lifecycle/serve.rs
@@ -10,7 +10,7 @@
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM, SIGUSR1};
 use signal_hook::iterator::Signals;
 
-use crate::client::bus::{Feed, Whereabouts};
+use crate::client::bus::{BusAddress, BusFollower};
 use crate::client::pool::Pool;
 use crate::client::start_times::StartTimes;
 use crate::engine::Engine;
@@ -61,10 +61,10 @@
     let at = listener.local_addr().map_err(|e| e.to_string())?;
 
     // The list of the start goes in before the first request can.
-    let mut feed = Feed {
+    let mut follower = BusFollower {
         names: config.names.clone(),
         start_times: StartTimes::default(),
-        last: 0,
+        last_event: 0,
         inputs: inputs.clone(),
         counters: counters.clone(),
         seed: config.seed,
@@ -80,11 +80,11 @@
         }
     };
     let stopped = start_engine(engine, events)?;
-    feed.apply(Ok((std::mem::take(&mut config.known), Vec::new())))?;
+    follower.apply(Ok((std::mem::take(&mut config.known), Vec::new())))?;
     let longest = Longest::new(config.longest_deadline);
-    let bus = Arc::new(Whereabouts::new(config.bus));
+    let bus = Arc::new(BusAddress::new(config.bus));
     let followed = bus.clone();
-    spawn_at_start("bus", move || feed.follow(&followed)).map_err(|e| format!("bus thread: {e}"))?;
+    spawn_at_start("bus", move || follower.follow(&followed)).map_err(|e| format!("bus thread: {e}"))?;
 
     let bodies = Budget::new(config.memory / REQUEST_MEMORY_DIVISOR);
     let intake = Arc::new(Intake::new(config.classes.clone(), bodies, inputs.clone(), counters.clone()));
--- a/front/tests/second_front.rs
+++ b/front/tests/second_front.rs
@@ -635,7 +635,7 @@
     let mut item = 0;
     ask_until(&mut http, &mut item, || nodes.iter().all(|n| n.asked() > 0));
     honest.set(Habits { says: Says::Nothing, ..Habits::default() });
-    front.log.wait("what is known stays", 0).unwrap();
+    front.log.wait("known addresses are kept", 0).unwrap();
     liar.set(Habits { says: lie, ..Habits::default() });
     front.log.wait("not believed", 0).unwrap();
     let since = Instant::now();
