--- a/benchlink/src/wire.rs
+++ b/benchlink/src/wire.rs
@@ -1,25 +1,27 @@
-//! The framing: batches of records in, one reply frame out, and the instances they speak of.
+//! The simulator's protocol: a batch of records in, one reply frame of actions out. All numbers are little-endian.
 
 use std::collections::BTreeMap;
 
 use elmtide::*;
 use elmtide_settings as settings;
 
-pub const HEADER: usize = 16;
+/// Length of a batch header in bytes.
+pub const HEADER_LEN: usize = 16;
 
-/// Record count, length of the whole frame and clock of a batch header.
-pub fn header(bytes: &[u8; HEADER]) -> Result<(u32, usize, Ms), String> {
+/// Parses a batch header: the number of records, the length of the whole frame and the clock.
+pub fn parse_header(bytes: &[u8; HEADER_LEN]) -> Result<(u32, usize, Ms), String> {
     let mut r = Reader { bytes };
-    let (records, length, clock) = (r.u32()?, r.u32()? as usize, r.f64()?);
-    if length < HEADER {
-        return Err(format!("batch length {length} is shorter than its header"));
+    let (record_count, frame_len, clock) = (r.u32()?, r.u32()? as usize, r.f64()?);
+    if frame_len < HEADER_LEN {
+        return Err(format!("batch length {frame_len} is shorter than its header"));
     }
     if !clock.is_finite() {
-        return Err("batch clock is no finite number".into());
+        return Err("batch clock is not a finite number".into());
     }
-    Ok((records, length, clock))
+    Ok((record_count, frame_len, clock))
 }
 
+/// Reads values from the front of a byte slice.
 struct Reader<'a> {
     bytes: &'a [u8],
 }
@@ -27,7 +29,7 @@
 impl<'a> Reader<'a> {
     fn take(&mut self, n: usize) -> Result<&'a [u8], String> {
         if n > self.bytes.len() {
-            return Err("a record is cut short".into());
+            return Err("truncated record".into());
         }
         let (head, tail) = self.bytes.split_at(n);
         self.bytes = tail;
@@ -56,7 +58,8 @@
     fn f64(&mut self) -> Result<f64, String> {
         Ok(f64::from_le_bytes(self.array()?))
     }
-    fn member(&mut self) -> Result<MemberId, String> {
+    /// A server's id: 6 bytes.
+    fn member_id(&mut self) -> Result<MemberId, String> {
         let b: [u8; 6] = self.array()?;
         Ok(MemberId(u64::from_le_bytes([b[0], b[1], b[2], b[3], b[4], b[5], 0, 0])))
     }
@@ -89,10 +92,10 @@
             _ => Note::Absent,
         })
     }
-    /// A load report: read past, the module does not use it.
-    fn report(&mut self) -> Result<(), String> {
-        let values = self.u8()?;
-        self.take(usize::from(values) * 4).map(|_| ())
+    /// Skips a load report, which the decision module does not use.
+    fn skip_load_report(&mut self) -> Result<(), String> {
+        let value_count = self.u8()?;
+        self.take(usize::from(value_count) * 4).map(|_| ())
     }
     fn listing(&mut self) -> Result<Listing, String> {
         let weight = self.f32()?;
@@ -105,7 +108,7 @@
             2 => Availability::Gone,
             other => return Err(format!("unknown availability {other}")),
         };
-        let member = self.member()?;
+        let member = self.member_id()?;
         let cell = CellId(self.u16()?);
         Ok(Listing {
             member,
@@ -119,47 +122,50 @@
     }
 }
 
+/// The running instances by the simulator's number.
 #[derive(Default)]
-pub struct Host {
-    instances: BTreeMap<u32, Router>,
+pub struct Instances {
+    routers: BTreeMap<u32, Router>,
     actions: Vec<Action>,
 }
 
-impl Host {
-    /// Plays one batch; gives the reply frame.
-    pub fn batch(&mut self, records: u32, now: Ms, body: &[u8]) -> Result<Vec<u8>, String> {
+impl Instances {
+    /// Handles the records of one batch and returns the reply frame.
+    pub fn handle_batch(&mut self, records: u32, now: Ms, body: &[u8]) -> Result<Vec<u8>, String> {
         let mut reader = Reader { bytes: body };
         let mut reply = vec![0; 4];
-        let (mut current, mut named) = (None, None);
-        for place in 0..records {
+        let (mut current, mut last_written) = (None, None);
+        for index in 0..records {
             let instance = self
-                .record(&mut reader, now, &mut current)
-                .map_err(|why| format!("record {place} of {records}: {why}"))?;
+                .handle_record(&mut reader, now, &mut current)
+                .map_err(|message| format!("record {index} of {records}: {message}"))?;
             for action in self.actions.drain(..) {
-                if named != Some(instance) {
-                    named = Some(instance);
+                if last_written != Some(instance) {
+                    last_written = Some(instance);
                     reply.push(27);
                     reply.extend(instance.to_le_bytes());
                 }
-                write(&mut reply, &action);
+                write_action(&mut reply, &action);
             }
         }
         if !reader.bytes.is_empty() {
-            return Err(format!("{} bytes are left after the last record", reader.bytes.len()));
+            return Err(format!("{} bytes left over after the last record", reader.bytes.len()));
         }
         let length = u32::try_from(reply.len()).map_err(|_| "reply is too long")?;
         reply[..4].copy_from_slice(&length.to_le_bytes());
         Ok(reply)
     }
 
-    fn record(&mut self, r: &mut Reader, now: Ms, current: &mut Option<u32>) -> Result<u32, String> {
+    /// Handles one record and returns the instance that it is for. `current` is the instance that the last record of
+    /// code 18 has selected.
+    fn handle_record(&mut self, r: &mut Reader, now: Ms, current: &mut Option<u32>) -> Result<u32, String> {
         let code = r.u8()?;
         if code == 18 {
             let instance = r.u32()?;
             *current = Some(instance);
             return Ok(instance);
         }
-        let instance = current.ok_or_else(|| format!("event {code} comes before any 'for'"))?;
+        let instance = current.ok_or_else(|| format!("event {code} before any 'for' record"))?;
         let event = match code {
             16 => {
                 let object = r.u64()?;
@@ -170,7 +176,7 @@
                 let seed = r.u64()?;
                 let length = r.u32()? as usize;
                 let settings = settings::parse(r.take(length)?)?;
-                self.instances.insert(instance, Router::new(settings, seed, now, &mut self.actions));
+                self.routers.insert(instance, Router::new(settings, seed, now, &mut self.actions));
                 return Ok(instance);
             }
             19 => {
@@ -189,6 +195,7 @@
                 }
                 Event::List { update, entries }
             }
+            // A message that elmtide does not use.
             20 => {
                 r.u32()?;
                 let length = usize::from(r.u16()?);
@@ -198,33 +205,33 @@
             21 => {
                 let id = RequestId(r.u32()?);
                 let attempt = Try(r.u8()?);
-                r.member()?;
+                r.member_id()?;
                 let outcome = r.outcome()?;
                 let latency = r.f64()?;
                 let settled = r.u8()? != 0;
                 let note = r.note()?;
                 r.f64()?;
-                r.report()?;
+                r.skip_load_report()?;
                 Event::Reply { id, attempt, outcome, latency, settled, note }
             }
             22 => {
-                self.instances.remove(&instance);
+                self.routers.remove(&instance);
                 return Ok(instance);
             }
             23 => Event::Expired { id: RequestId(r.u32()?) },
             24 => {
                 let id = RequestId(r.u32()?);
-                r.member()?;
+                r.member_id()?;
                 let attempt = Try(r.u8()?);
                 r.f64()?;
                 Event::FirstByte { id, attempt }
             }
             25 => Event::Timer { token: Token(r.u64()?) },
             26 => {
-                let member = r.member()?;
+                let member = r.member_id()?;
                 let outcome = r.outcome()?;
                 let latency = r.f64()?;
-                r.report()?;
+                r.skip_load_report()?;
                 Event::Probed { member, outcome, latency }
             }
             27 => {
@@ -242,19 +249,19 @@
             }
             other => return Err(format!("unknown event code {other}")),
         };
-        // An instance that was never started, or was stopped, has nothing to decide.
-        if let Some(router) = self.instances.get_mut(&instance) {
+        // Events for an instance that is not running are ignored.
+        if let Some(router) = self.routers.get_mut(&instance) {
             router.handle(now, event, &mut self.actions);
         }
         Ok(instance)
     }
 }
 
-fn put_member(out: &mut Vec<u8>, member: MemberId) {
+fn write_member_id(out: &mut Vec<u8>, member: MemberId) {
     out.extend(&member.0.to_le_bytes()[..6]);
 }
 
-fn write(out: &mut Vec<u8>, action: &Action) {
+fn write_action(out: &mut Vec<u8>, action: &Action) {
     match action {
         Action::Subscribe => out.extend([17, 1]),
         Action::Serve { id, cache, source, rank, max_age, mode, timeout } => {
@@ -262,11 +269,11 @@
             out.extend(id.0.to_le_bytes());
             out.push(*rank);
             out.extend(max_age.map_or(0.0f64, |age| age).to_le_bytes());
-            put_member(out, *source);
-            put_member(out, *cache);
-            let bit = |on: bool, value: u8| if on { value } else { 0 };
-            let bits = bit(mode.join, 1) | bit(mode.source_holds_only, 2);
-            out.push(bits | bit(mode.no_copy_at_parent, 4) | bit(mode.renew, 8));
+            write_member_id(out, *source);
+            write_member_id(out, *cache);
+            let flag = |on: bool, value: u8| if on { value } else { 0 };
+            let flags = flag(mode.join, 1) | flag(mode.source_holds_only, 2);
+            out.push(flags | flag(mode.no_copy_at_parent, 4) | flag(mode.renew, 8));
             out.extend(timeout.to_le_bytes());
         }
         Action::Cancel { id, attempt } => {
@@ -290,7 +297,7 @@
         }
         Action::Probe { member } => {
             out.push(26);
-            put_member(out, *member);
+            write_member_id(out, *member);
         }
     }
 }
--- a/core/drain/src/lib.rs
+++ b/core/drain/src/lib.rs
@@ -1,52 +1,56 @@
-//! The drain of a front: what becomes of new requests, open requests and client connections from the moment at which the
-//! front is to release its clients.
+//! The drain of a front: how new requests, open requests and client connections are handled while the front releases
+//! its clients.
 //!
-//! Invariant: a connection that owes no answer is closed by [`DrainSchedule::release_after`] at the latest, and no request is
-//! admitted from [`DrainSchedule::reject_after`] on. It rests on the time since the drain began alone. It does not rest on the
-//! client (that it pauses between requests, finishes what it has begun to send, or closes), on the cache nodes (that they
-//! answer), or on the wall clock.
+//! Invariant: from [`DrainSchedule::reject_after`] on no request is admitted, and a connection without a pending response
+//! is closed by [`DrainSchedule::release_after`]. This depends only on the time since the drain began. It does not
+//! depend on the client (pausing between requests, completing a partial request, or closing), on the cache nodes
+//! (answering), or on the wall clock.
 //!
-//! The crate has no clock and no sockets. The thread that owns the connections asks [`DrainPhase::connection_action`] for each
-//! of them; the engine asks [`DrainPhase::admission`] for each request and [`DrainPhase::cuts_off_open_requests`] now and then.
+//! The crate has no clock and no sockets. The thread that owns the connections calls [`DrainPhase::connection_action`]
+//! for each of them; the engine calls [`DrainPhase::admission`] for each request and
+//! [`DrainPhase::cuts_off_open_requests`] periodically.
 
 use std::time::Duration;
 
-/// What the platform waits for at most before it kills a process that was told to end, beside its margin.
+/// The platform's maximum wait, without its margin, before it kills a process that it has told to shut down.
 pub const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
-/// For so long after the order to end requests are still admitted, and connections that have brought nothing kept: the platform
-/// goes on sending for 0.6 s.
+/// How long after the shutdown order requests are still admitted, and connections without a request kept open: the
+/// platform continues to send for 0.6 s.
 const SHUTDOWN_ADMISSION: Duration = Duration::from_millis(650);
-/// The margins after the counted deadline at which open requests are cut off, and connections closed.
+/// How long after the counted deadline open requests are cut off.
 const SHUTDOWN_CUT_OFF_MARGIN: Duration = Duration::from_millis(450);
+/// How long after the counted deadline connections are closed.
 const SHUTDOWN_RELEASE_MARGIN: Duration = Duration::from_millis(580);
 
-/// When each phase of a drain begins, counted from the beginning of the drain.
+/// When each phase of a drain begins, as the time since the drain began.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DrainSchedule {
-    /// From here on new requests are rejected.
+    /// From this time new requests are rejected.
     pub reject_after: Duration,
-    /// From here on open requests that may be repeated are answered, and partial ones rejected.
+    /// From this time open requests that are safe to repeat are answered early, and partial ones are rejected.
     pub cut_off_after: Duration,
-    /// From here on every connection that owes no answer is closed.
+    /// From this time every connection without a pending response is closed.
     pub release_after: Duration,
 }
 
 impl DrainSchedule {
-    /// The drain of a front that goes on running.
+    /// The schedule for a front that keeps running.
     ///
-    /// Operators allow 4 s in all. Readiness is asked for ten times a second and new connections stop 0.2 s after it says
-    /// no, so that a second is enough for most connections to have an idle moment of their own. The rest leaves an admitted
-    /// request at least 2 s, and 0.6 s for a front that is short of processor time, and for the last answers to be taken in.
+    /// Operators allow 4 s in total. Readiness is polled ten times a second and new connections stop 0.2 s after the
+    /// front is reported not ready, so one second is enough for most connections to become idle on their own. The rest
+    /// leaves an admitted request at least 2 s, and 0.6 s of reserve for a front short of CPU time and for clients to
+    /// read the last responses.
     pub const RELEASE_CLIENTS: DrainSchedule = DrainSchedule {
         reject_after: Duration::from_millis(1000),
         cut_off_after: Duration::from_millis(3000),
         release_after: Duration::from_millis(3400),
     };
 
-    /// The drain of a front that was told to end, by the longest deadline of its classes.
+    /// The schedule for a front that was told to shut down, from the longest deadline of its request classes.
     ///
-    /// The platform kills no sooner than the longest deadline, counted as [`MAX_COUNTED_DEADLINE`] where it is longer, and
-    /// 0.7 s more. Requests keep coming on open connections for 0.2 s and on new ones for up to 0.6 s.
+    /// The platform kills the process no sooner than 0.7 s after the longest deadline, of which it counts no more than
+    /// [`MAX_COUNTED_DEADLINE`]. Requests continue to arrive on open connections for 0.2 s and on new ones for up to
+    /// 0.6 s.
     pub fn shutdown(longest_deadline: Duration) -> DrainSchedule {
         let counted = longest_deadline.min(MAX_COUNTED_DEADLINE);
         DrainSchedule {
@@ -56,7 +60,7 @@
         }
     }
 
-    /// The phase of a drain that began so long ago; none where the front does not drain.
+    /// The phase at the given time since the drain began; `None` is a front that does not drain.
     pub fn phase(&self, elapsed: Option<Duration>) -> DrainPhase {
         match elapsed {
             None => DrainPhase::NotDraining,
@@ -67,24 +71,24 @@
         }
     }
 
-    /// The time left until open requests are cut off, for a drain that began so long ago.
+    /// The time left until open requests are cut off, at the given time since the drain began.
     pub fn time_until_cut_off(&self, elapsed: Duration) -> Duration {
         self.cut_off_after.saturating_sub(elapsed)
     }
 }
 
-/// How far a drain has come.
+/// The phase of a drain, in order of time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DrainPhase {
     /// The front does not drain.
     NotDraining,
-    /// Requests are still admitted; a connection is closed in its first idle moment.
+    /// Requests are still admitted; a connection that has had a request is closed as soon as it is idle.
     Settling,
-    /// New requests are rejected, so that every connection comes to an idle moment.
+    /// New requests are rejected, so that every connection becomes idle.
     Rejecting,
-    /// Open requests that may be repeated are answered, and partial ones rejected.
+    /// Open requests that are safe to repeat are answered early, and partial ones are rejected.
     CuttingOff,
-    /// Every connection that owes no answer is closed.
+    /// Every connection without a pending response is closed.
     Releasing,
 }
 
@@ -100,12 +104,12 @@
         }
     }
 
-    /// Whether the front releases its clients.
+    /// Whether the front is releasing its clients.
     pub fn is_draining(self) -> bool {
         self != DrainPhase::NotDraining
     }
 
-    /// What becomes of a request that has come whole.
+    /// How to handle a completely received request.
     pub fn admission(self) -> Admission {
         match self {
             DrainPhase::NotDraining => Admission::Admit,
@@ -114,31 +118,31 @@
         }
     }
 
-    /// Whether open requests that may be repeated are to be answered now.
+    /// Whether open requests that are safe to repeat are to be answered now.
     pub fn cuts_off_open_requests(self) -> bool {
         self >= DrainPhase::CuttingOff
     }
 
-    /// What is to be done with a client's connection.
+    /// How to handle a client's connection.
     pub fn connection_action(self, connection: ConnectionActivity) -> ConnectionAction {
-        // While it is released, a client that begins one request after the other is not answered each time.
-        let is_answered = self == DrainPhase::CuttingOff || connection.owes_answer;
-        if self.cuts_off_open_requests() && is_answered && connection.partial_requests > 0 {
+        // In the release phase, a client that keeps starting new requests is not sent a rejection for each one.
+        let sends_rejection = self == DrainPhase::CuttingOff || connection.has_pending_response;
+        if self.cuts_off_open_requests() && sends_rejection && connection.partial_requests > 0 {
             return ConnectionAction::RejectPartialRequests;
         }
-        if connection.owes_answer {
+        if connection.has_pending_response {
             return ConnectionAction::Keep;
         }
         let is_idle = connection.partial_requests == 0 && !connection.has_partial_input;
-        let has_nothing_to_say = is_idle && !connection.has_unread_input;
-        let closes = match self {
+        let is_silent = is_idle && !connection.has_unread_input;
+        let should_close = match self {
             DrainPhase::NotDraining => false,
-            // One that has brought nothing may be new: its first request may be on its way.
-            DrainPhase::Settling => has_nothing_to_say && connection.has_brought_request,
-            DrainPhase::Rejecting | DrainPhase::CuttingOff => has_nothing_to_say,
+            // A connection without a request may be new, with its first request still in flight.
+            DrainPhase::Settling => is_silent && connection.has_received_request,
+            DrainPhase::Rejecting | DrainPhase::CuttingOff => is_silent,
             DrainPhase::Releasing => true,
         };
-        if closes {
+        if should_close {
             ConnectionAction::Close
         } else {
             ConnectionAction::Keep
@@ -146,39 +150,39 @@
     }
 }
 
-/// What becomes of a request that has come whole.
+/// How a completely received request is handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
     /// It is admitted with its own deadline.
     Admit,
     /// It is admitted, and its deadline is no later than the cut-off.
     AdmitUntilCutOff,
-    /// It is rejected at once; its client is told when to come back.
+    /// It is rejected at once, and the client is told when to retry.
     Reject,
 }
 
-/// What a client's connection is doing.
+/// The activity of a client's connection.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ConnectionActivity {
-    /// A request that has come whole is open, or an answer is not written whole.
-    pub owes_answer: bool,
-    /// Requests of which a part has come.
+    /// A completely received request is open, or a response is not completely written.
+    pub has_pending_response: bool,
+    /// The number of requests that are only partially received.
     pub partial_requests: usize,
-    /// A part of a message has come that belongs to no request yet.
+    /// A partial message was received that belongs to no request yet.
     pub has_partial_input: bool,
-    /// Bytes have come that nobody has read.
+    /// Bytes have arrived that were not read yet.
     pub has_unread_input: bool,
-    /// A whole request has come on it.
-    pub has_brought_request: bool,
+    /// A complete request was received on it.
+    pub has_received_request: bool,
 }
 
-/// What is to be done with a client's connection.
+/// How a client's connection is handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionAction {
-    /// Nothing.
+    /// It stays open.
     Keep,
-    /// What has come in part is rejected, and nothing more of it is taken in.
+    /// Its partial requests are rejected, and no more of them is read.
     RejectPartialRequests,
-    /// The front's side ends.
+    /// The front closes its side.
     Close,
 }
--- a/core/drain/tests/phases.rs
+++ b/core/drain/tests/phases.rs
@@ -1,4 +1,4 @@
-//! The phases of a drain: what becomes of requests and connections in each, and that no client can prolong it.
+//! How requests and connections are handled in each phase of a drain, and that no client can prolong it.
 
 use std::time::Duration;
 
@@ -6,22 +6,23 @@
 use proptest::prelude::*;
 
 const SCHEDULE: DrainSchedule = DrainSchedule::RELEASE_CLIENTS;
-/// What the operators allow.
-const OPERATORS_LIMIT: Duration = Duration::from_secs(4);
-const TURN: Duration = Duration::from_millis(100);
+/// The maximum duration of a drain that operators allow.
+const MAX_DRAIN: Duration = Duration::from_secs(4);
+/// The interval at which a thread checks its connections.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 fn phase_at(ms: u64) -> DrainPhase {
     SCHEDULE.phase(Some(Duration::from_millis(ms)))
 }
 
 #[test]
-fn the_schedule_ends_within_what_the_operators_allow() {
+fn the_schedule_ends_before_the_operators_limit() {
     assert!(SCHEDULE.reject_after < SCHEDULE.cut_off_after);
     assert!(
-        SCHEDULE.cut_off_after + TURN < SCHEDULE.release_after,
-        "answers of the cut-off are written before"
+        SCHEDULE.cut_off_after + CHECK_INTERVAL < SCHEDULE.release_after,
+        "responses sent at the cut-off are written before connections are closed"
     );
-    assert!(SCHEDULE.release_after + 5 * TURN < OPERATORS_LIMIT);
+    assert!(SCHEDULE.release_after + 5 * CHECK_INTERVAL < MAX_DRAIN);
 }
 
 #[test]
@@ -41,7 +42,7 @@
 }
 
 #[test]
-fn requests_are_admitted_up_to_the_cut_off_and_then_rejected() {
+fn requests_are_admitted_while_settling_and_rejected_afterwards() {
     assert_eq!(DrainPhase::NotDraining.admission(), Admission::Admit);
     assert_eq!(DrainPhase::Settling.admission(), Admission::AdmitUntilCutOff);
     for phase in [DrainPhase::Rejecting, DrainPhase::CuttingOff, DrainPhase::Releasing] {
@@ -51,17 +52,17 @@
     assert_eq!(SCHEDULE.time_until_cut_off(Duration::from_secs(9)), Duration::ZERO);
 }
 
-/// Each kind of connection against each phase.
+/// Each kind of connection in each phase.
 #[test]
-fn a_connection_is_closed_in_its_first_idle_moment_and_in_the_end_whatever_it_brings() {
+fn a_connection_is_closed_once_idle_and_at_the_end_whatever_its_activity() {
     use ConnectionAction::{Close, Keep, RejectPartialRequests};
-    let resting = ConnectionActivity { has_brought_request: true, ..ConnectionActivity::default() };
+    let idle = ConnectionActivity { has_received_request: true, ..ConnectionActivity::default() };
     let new = ConnectionActivity::default();
-    let owing = ConnectionActivity { owes_answer: true, ..resting };
-    let partial = ConnectionActivity { partial_requests: 1, ..resting };
-    let owing_and_partial = ConnectionActivity { owes_answer: true, ..partial };
-    let half_record = ConnectionActivity { has_partial_input: true, ..resting };
-    let unread = ConnectionActivity { has_unread_input: true, ..resting };
+    let pending = ConnectionActivity { has_pending_response: true, ..idle };
+    let partial = ConnectionActivity { partial_requests: 1, ..idle };
+    let pending_and_partial = ConnectionActivity { has_pending_response: true, ..partial };
+    let partial_record = ConnectionActivity { has_partial_input: true, ..idle };
+    let unread = ConnectionActivity { has_unread_input: true, ..idle };
     let phases = [
         DrainPhase::NotDraining,
         DrainPhase::Settling,
@@ -70,16 +71,16 @@
         DrainPhase::Releasing,
     ];
     let table = [
-        ("resting", resting, [Keep, Close, Close, Close, Close]),
+        ("idle", idle, [Keep, Close, Close, Close, Close]),
         ("new", new, [Keep, Keep, Close, Close, Close]),
-        ("owing", owing, [Keep, Keep, Keep, Keep, Keep]),
+        ("pending", pending, [Keep, Keep, Keep, Keep, Keep]),
         ("partial", partial, [Keep, Keep, Keep, RejectPartialRequests, Close]),
         (
-            "owing and partial",
-            owing_and_partial,
+            "pending and partial",
+            pending_and_partial,
             [Keep, Keep, Keep, RejectPartialRequests, RejectPartialRequests],
         ),
-        ("half a record", half_record, [Keep, Keep, Keep, Keep, Close]),
+        ("partial record", partial_record, [Keep, Keep, Keep, Keep, Close]),
         ("unread", unread, [Keep, Keep, Keep, Keep, Close]),
     ];
     for (name, activity, actions) in table {
@@ -89,7 +90,7 @@
     }
 }
 
-/// What a client does in one turn of the thread that owns its connection.
+/// What a client does within one check interval.
 #[derive(Clone, Copy, Debug)]
 enum ClientStep {
     Send,
@@ -110,34 +111,34 @@
 
 proptest! {
     /// Whatever a client sends and however slowly requests are answered, its connection is closed before the limit, and
-    /// every request that was admitted has had its answer by then.
+    /// every admitted request has been answered by then.
     #[test]
-    fn no_client_prolongs_a_drain(steps in client_steps(), service_turns in 1usize..60) {
+    fn no_client_prolongs_a_drain(steps in client_steps(), service_intervals in 1usize..60) {
         let mut open: Vec<usize> = Vec::new();
-        let mut activity = ConnectionActivity { has_brought_request: true, ..ConnectionActivity::default() };
+        let mut activity = ConnectionActivity { has_received_request: true, ..ConnectionActivity::default() };
         let mut closed_after = None;
-        for (turn, step) in steps.into_iter().enumerate() {
-            let elapsed = TURN * turn as u32;
+        for (interval, step) in steps.into_iter().enumerate() {
+            let elapsed = CHECK_INTERVAL * interval as u32;
             let phase = SCHEDULE.phase(Some(elapsed));
             match step {
-                ClientStep::Send if phase.admission() != Admission::Reject => open.push(turn),
+                ClientStep::Send if phase.admission() != Admission::Reject => open.push(interval),
                 ClientStep::BeginPartial => activity.partial_requests += 1,
                 ClientStep::SendGarbage => activity.has_partial_input = true,
                 ClientStep::Send | ClientStep::Rest => {}
             }
-            open.retain(|since| turn - since < service_turns && !phase.cuts_off_open_requests());
-            activity.owes_answer = !open.is_empty();
+            open.retain(|since| interval - since < service_intervals && !phase.cuts_off_open_requests());
+            activity.has_pending_response = !open.is_empty();
             match phase.connection_action(activity) {
                 ConnectionAction::Keep => {}
                 ConnectionAction::RejectPartialRequests => activity.partial_requests = 0,
                 ConnectionAction::Close => {
-                    prop_assert!(open.is_empty(), "closed over an open request");
+                    prop_assert!(open.is_empty(), "closed with an open request");
                     closed_after = Some(elapsed);
                     break;
                 }
             }
         }
-        let closed_after = closed_after.expect("closed at all");
-        prop_assert!(closed_after + TURN < OPERATORS_LIMIT, "closed after {closed_after:?}");
+        let closed_after = closed_after.expect("the connection is closed within the steps");
+        prop_assert!(closed_after + CHECK_INTERVAL < MAX_DRAIN, "closed after {closed_after:?}");
     }
 }
--- a/core/steering/src/view.rs
+++ b/core/steering/src/view.rs
@@ -1,16 +1,17 @@
-//! One outcome of steering, and the choice of addresses from it.
+//! The state that answers are selected from, and the selection of addresses.
 
 use std::net::IpAddr;
 
 use crate::net::mix;
 use crate::{BranchId, Layout, Net, PoolId, Subnet};
 
-/// Addresses of one answer at most.
-pub const MOST: usize = 64;
+/// Maximum number of addresses in one answer.
+pub const MAX_ANSWER_ADDRESSES: usize = 64;
 
+/// When a front may be selected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Open {
-    Named,
+pub(crate) enum Eligibility {
+    Serving,
     LastResort,
     Never,
 }
@@ -18,105 +19,113 @@
 #[derive(Clone, Debug, PartialEq)]
 struct Member {
     address: IpAddr,
-    /// The same for all addresses of a front: they go together.
-    identity: u64,
+    /// The same for all addresses of a front, so that they are selected together.
+    owner_hash: u64,
     weight: f64,
     branch: Option<BranchId>,
-    open: Open,
+    eligibility: Eligibility,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-struct Members {
+struct PoolMembers {
     members: Vec<Member>,
     answers: usize,
-    /// The answer is the same for every client.
-    for_all: bool,
+    /// Whether every client gets the same answer.
+    is_same_for_all: bool,
 }
 
-/// Everything that an answer depends on. It is never changed: what changes makes another.
+/// Everything that an answer depends on. It is immutable: a change creates a new one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct View {
-    pools: Vec<Members>,
+    pools: Vec<PoolMembers>,
     subnets: Vec<Subnet>,
-    overflow: Vec<Option<BranchId>>,
-    spill: Vec<f64>,
-    away: Vec<Option<Away>>,
+    overflow_branches: Vec<Option<BranchId>>,
+    overflow_fractions: Vec<f64>,
+    failover_routes: Vec<Option<FailoverRoute>>,
     client_bits: (u8, u8),
     seed: u64,
 }
 
-/// Where the clients of a branch go by a plan that is agreed on, in place of home and overflow.
+/// Where the clients of a branch go by the failover plan in force, in place of the usual rule of home branch and
+/// overflow.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Away {
-    /// Part of its nets that stay at home; where that is nought none of its fronts is named to anybody.
-    pub home: f64,
-    /// Other branches and how far each one's part of the rest reaches, rising to 1.
-    pub to: Vec<(BranchId, f64)>,
+pub struct FailoverRoute {
+    /// The fraction of its networks that stay at the branch. At 0 none of its fronts is selected for any client.
+    pub home_fraction: f64,
+    /// The branches that share the displaced networks, each with the end of its interval between 0 and 1. The ends are
+    /// in ascending order; the last one is 1.
+    pub targets: Vec<(BranchId, f64)>,
 }
 
-impl Away {
-    fn branch(&self, home: BranchId, drawn: f64) -> BranchId {
-        if drawn < self.home {
+impl FailoverRoute {
+    fn branch(&self, home: BranchId, draw: f64) -> BranchId {
+        if draw < self.home_fraction {
             return home;
         }
-        let rest = (drawn - self.home) / (1.0 - self.home).max(1e-9);
-        self.to.iter().find(|(_, reach)| rest < *reach).or(self.to.last()).map_or(home, |(to, _)| *to)
+        let position = (draw - self.home_fraction) / (1.0 - self.home_fraction).max(1e-9);
+        self.targets
+            .iter()
+            .find(|(_, interval_end)| position < *interval_end)
+            .or(self.targets.last())
+            .map_or(home, |(target, _)| *target)
     }
 }
 
-/// What is known of a choice besides the addresses.
+/// Which fronts a selection was made from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Choice {
+pub enum SelectionKind {
     /// Fronts that take new clients.
-    Named,
-    /// None is known to serve; these have at least not said that they go.
+    Serving,
+    /// No front is known to serve; the selected ones are at least not draining.
     LastResort,
-    /// All drain, or the name has no address.
-    Nobody,
+    /// All fronts drain or are lost, or the name has no address of the type.
+    Empty,
 }
 
-/// The addresses chosen, the first first. It is small: it is made for each answer.
+/// The selected addresses, the best one first. It is created for each answer, and holds no allocation.
 #[derive(Clone, Copy, Debug)]
-pub struct Chosen<'v> {
+pub struct Selection<'v> {
     members: &'v [Member],
-    places: [u8; MOST],
+    indexes: [u8; MAX_ANSWER_ADDRESSES],
     count: usize,
-    pub choice: Choice,
-    /// Leading bits of the client's address that the choice rests on (RFC 7871, section 7.2.1).
+    pub kind: SelectionKind,
+    /// Leading bits of the client's address that the selection depends on (RFC 7871, section 7.2.1).
     pub scope: u8,
 }
 
-impl Chosen<'_> {
+impl Selection<'_> {
     pub fn iter(&self) -> impl Iterator<Item = IpAddr> + '_ {
-        self.places[..self.count].iter().map(|place| self.members[usize::from(*place)].address)
+        self.indexes[..self.count].iter().map(|index| self.members[usize::from(*index)].address)
     }
 
     pub fn is_empty(&self) -> bool {
         self.count == 0
     }
 
-    /// For those who may allocate.
+    /// The addresses as a vector, for callers that may allocate.
     pub fn addresses(&self) -> Vec<IpAddr> {
         self.iter().collect()
     }
 }
 
-/// FNV-1a, to tell fronts apart by name: a renumbered list moves nobody.
-fn identity(name: &str) -> u64 {
+/// FNV-1a. Fronts are identified by name, so that a reordered list of fronts moves no clients.
+fn name_hash(name: &str) -> u64 {
     name.bytes().fold(0xCBF2_9CE4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01B3))
 }
 
-/// Weighted rendezvous: the highest score is chosen, and a member's chance is its part of all weights.
-fn score(key: u64, identity: u64, weight: f64) -> f64 {
+/// Weighted rendezvous hashing: the member with the highest score is selected. Its probability is its share of the
+/// total weight.
+fn rendezvous_score(key: u64, owner_hash: u64, weight: f64) -> f64 {
     // 53 bits, strictly between 0 and 1.
-    let part = ((mix(key ^ identity) >> 11) as f64 + 0.5) / (1u64 << 53) as f64;
-    -weight / part.ln()
+    let fraction = ((mix(key ^ owner_hash) >> 11) as f64 + 0.5) / (1u64 << 53) as f64;
+    -weight / fraction.ln()
 }
 
-/// What tells the draws of a net apart.
-const AWAY: u64 = 0xA3A1;
+/// Keeps the numbers for failover independent of a network's other numbers.
+const FAILOVER_SALT: u64 = 0xA3A1;
 
-fn drawn(key: u64, salt: u64) -> f64 {
+/// A number from 0 to below 1 that a network's hash and a salt determine.
+fn unit_hash(key: u64, salt: u64) -> f64 {
     (mix(key ^ salt) >> 11) as f64 / (1u64 << 53) as f64
 }
 
@@ -124,9 +133,9 @@
     pub(crate) fn new(
         layout: &Layout,
         seed: u64,
-        open: Vec<Open>,
-        spill: Vec<f64>,
-        away: Vec<Option<Away>>,
+        eligibility: Vec<Eligibility>,
+        overflow_fractions: Vec<f64>,
+        failover_routes: Vec<Option<FailoverRoute>>,
     ) -> View {
         let pools = layout.pools().iter().map(|pool| {
             let members = pool.members.iter().map(|(address, front)| match front {
@@ -134,138 +143,150 @@
                     let front = &layout.fronts()[usize::from(id.0)];
                     Member {
                         address: *address,
-                        identity: identity(&front.name),
+                        owner_hash: name_hash(&front.name),
                         weight: front.weight,
                         branch: Some(front.branch),
-                        open: open[usize::from(id.0)],
+                        eligibility: eligibility[usize::from(id.0)],
                     }
                 }
                 None => Member {
                     address: *address,
-                    identity: identity(&address.to_string()),
+                    owner_hash: name_hash(&address.to_string()),
                     weight: 1.0,
                     branch: None,
-                    open: Open::Named,
+                    eligibility: Eligibility::Serving,
                 },
             });
             let members: Vec<Member> = members.collect();
-            let for_all = members.len() <= 1;
-            Members { members, answers: pool.answers.min(MOST), for_all }
+            let is_same_for_all = members.len() <= 1;
+            PoolMembers { members, answers: pool.answers.min(MAX_ANSWER_ADDRESSES), is_same_for_all }
         });
         View {
             pools: pools.collect(),
             subnets: layout.subnets().to_vec(),
-            overflow: layout.branches().iter().map(|b| b.overflow).collect(),
-            spill,
-            away,
+            overflow_branches: layout.branches().iter().map(|b| b.overflow).collect(),
+            overflow_fractions,
+            failover_routes,
             client_bits: layout.policy().client_bits,
             seed,
         }
     }
 
-    /// The branch of a client, and two numbers between 0 and 1 that are its net's own, the same at every front: the first is what
-    /// [`Away`] goes by.
+    /// The home branch of a client, and two numbers between 0 and 1 that its network determines and that are the same
+    /// at every front. The first one selects the branch by [`FailoverRoute`].
     pub fn home(&self, client: Net) -> (Option<BranchId>, f64, f64) {
         let bits = if client.is_v6() { self.client_bits.1 } else { self.client_bits.0 };
-        let key = client.shortened(bits).mixed(self.seed);
-        (self.located(client).0, drawn(key, AWAY), drawn(key, AWAY + 1))
+        let key = client.truncated(bits).seeded_hash(self.seed);
+        (self.locate(client).0, unit_hash(key, FAILOVER_SALT), unit_hash(key, FAILOVER_SALT + 1))
     }
 
-    /// The branch of a client, and how many bits of its address that rests on.
-    fn located(&self, client: Net) -> (Option<BranchId>, u8) {
-        let upto = self.subnets.partition_point(|s| s.net <= client);
-        // Those that hold the client come before it, the longest last.
-        let found = self.subnets[..upto].iter().rev().find(|s| s.net.contains(client));
-        let mut scope = found.map_or(0, |s| s.net.length());
-        // What lies beside it in the table is told apart by the first bit that differs.
-        let beside = [upto.checked_sub(1), Some(upto)];
-        for other in beside.into_iter().flatten().filter_map(|at| self.subnets.get(at)) {
+    /// The home branch of a client, and the number of leading bits of its address that determine it.
+    fn locate(&self, client: Net) -> (Option<BranchId>, u8) {
+        let end = self.subnets.partition_point(|s| s.net <= client);
+        // The subnets that contain the client come before it, the longest prefix last.
+        let found = self.subnets[..end].iter().rev().find(|s| s.net.contains(client));
+        let mut scope = found.map_or(0, |s| s.net.prefix_len());
+        // The scope must include the first bit that differs from the neighboring subnets.
+        let neighbors = [end.checked_sub(1), Some(end)];
+        for other in neighbors.into_iter().flatten().filter_map(|index| self.subnets.get(index)) {
             if other.net.is_v6() == client.is_v6() && !other.net.contains(client) {
-                scope = scope.max(common(other.net, client).saturating_add(1));
+                scope = scope.max(common_prefix_len(other.net, client).saturating_add(1));
             }
         }
         (found.map(|s| s.branch), scope)
     }
 
-    /// The addresses of one kind that a client of this net is to be told for a pool.
-    pub fn choose(&self, pool: PoolId, client: Net, v6: bool) -> Chosen<'_> {
-        let mut chosen =
-            Chosen { members: &[], places: [0; MOST], count: 0, choice: Choice::Nobody, scope: 0 };
-        let Some(pool) = self.pools.get(usize::from(pool.0)) else { return chosen };
-        chosen.members = &pool.members;
+    /// Selects a pool's addresses of one type (IPv6 if `v6`) for a client.
+    pub fn choose(&self, pool: PoolId, client: Net, v6: bool) -> Selection<'_> {
+        let mut selection = Selection {
+            members: &[],
+            indexes: [0; MAX_ANSWER_ADDRESSES],
+            count: 0,
+            kind: SelectionKind::Empty,
+            scope: 0,
+        };
+        let Some(pool) = self.pools.get(usize::from(pool.0)) else { return selection };
+        selection.members = &pool.members;
         let bits = if client.is_v6() { self.client_bits.1 } else { self.client_bits.0 };
-        let net = client.shortened(bits);
-        let (branch, located) = if pool.for_all { (None, 0) } else { self.located(client) };
-        chosen.scope = if pool.for_all { 0 } else { located.max(bits) };
-        let key = net.mixed(self.seed);
-        let target = branch.and_then(|b| self.spilt(b, key));
-        for wanted in [Open::Named, Open::LastResort] {
-            // First the client's own branch (or where it overflows to), then whoever there is.
+        let net = client.truncated(bits);
+        let (branch, branch_scope) = if pool.is_same_for_all { (None, 0) } else { self.locate(client) };
+        selection.scope = if pool.is_same_for_all { 0 } else { branch_scope.max(bits) };
+        let key = net.seeded_hash(self.seed);
+        let target = branch.and_then(|b| self.target_branch(b, key));
+        for eligibility in [Eligibility::Serving, Eligibility::LastResort] {
+            // The client's target branch first, then all branches.
             for of_branch in [target, None] {
-                self.rank(pool, key, v6, wanted, of_branch, &mut chosen);
-                if chosen.count > 0 {
-                    chosen.choice = if wanted == Open::Named { Choice::Named } else { Choice::LastResort };
-                    return chosen;
+                self.select_members(pool, key, v6, eligibility, of_branch, &mut selection);
+                if selection.count > 0 {
+                    selection.kind = if eligibility == Eligibility::Serving {
+                        SelectionKind::Serving
+                    } else {
+                        SelectionKind::LastResort
+                    };
+                    return selection;
                 }
                 if target.is_none() {
                     break;
                 }
             }
         }
-        chosen
+        selection
     }
 
-    /// Where a client of this branch goes: a stated part of the nets goes to the second branch, always the same ones.
-    fn spilt(&self, branch: BranchId, key: u64) -> Option<BranchId> {
-        let place = usize::from(branch.0);
-        if let Some(away) = self.away.get(place).and_then(Option::as_ref) {
-            return Some(away.branch(branch, drawn(key, AWAY)));
+    /// The branch that serves a client of the given home branch. The overflow moves a fraction of the networks to the
+    /// overflow branch, always the same ones.
+    fn target_branch(&self, home: BranchId, key: u64) -> Option<BranchId> {
+        let index = usize::from(home.0);
+        if let Some(route) = self.failover_routes.get(index).and_then(Option::as_ref) {
+            return Some(route.branch(home, unit_hash(key, FAILOVER_SALT)));
         }
-        let part = self.spill.get(place).copied().unwrap_or(0.0);
-        let drawn = (mix(key ^ 0x5B11) >> 11) as f64 / (1u64 << 53) as f64;
-        match self.overflow.get(place).copied().flatten() {
-            Some(second) if drawn < part => {
-                let full = self.spill.get(usize::from(second.0)).copied().unwrap_or(0.0);
-                // A branch that is itself full up takes nobody in.
-                Some(if full < 1.0 { second } else { branch })
+        let fraction = self.overflow_fractions.get(index).copied().unwrap_or(0.0);
+        let draw = (mix(key ^ 0x5B11) >> 11) as f64 / (1u64 << 53) as f64;
+        match self.overflow_branches.get(index).copied().flatten() {
+            Some(second) if draw < fraction => {
+                let second_fraction =
+                    self.overflow_fractions.get(usize::from(second.0)).copied().unwrap_or(0.0);
+                // A branch whose own clients all overflow takes no others.
+                Some(if second_fraction < 1.0 { second } else { home })
             }
-            _ => Some(branch),
+            _ => Some(home),
         }
     }
 
-    fn rank(
+    /// Adds the members of the given eligibility (and branch, if any) to the selection, in descending order of score.
+    fn select_members(
         &self,
-        pool: &Members,
+        pool: &PoolMembers,
         key: u64,
         v6: bool,
-        wanted: Open,
-        of: Option<BranchId>,
-        into: &mut Chosen<'_>,
+        eligibility: Eligibility,
+        branch: Option<BranchId>,
+        selection: &mut Selection<'_>,
     ) {
-        let mut scores = [0f32; MOST];
-        for (place, member) in pool.members.iter().enumerate() {
-            let fits = member.address.is_ipv6() == v6
-                && member.open == wanted
-                && of.is_none_or(|b| member.branch.is_none_or(|own| own == b));
-            if !fits {
+        let mut scores = [0f32; MAX_ANSWER_ADDRESSES];
+        for (index, member) in pool.members.iter().enumerate() {
+            let is_candidate = member.address.is_ipv6() == v6
+                && member.eligibility == eligibility
+                && branch.is_none_or(|b| member.branch.is_none_or(|own| own == b));
+            if !is_candidate {
                 continue;
             }
-            let score = score(key, member.identity, member.weight) as f32;
-            let at = scores[..into.count].partition_point(|s| *s >= score);
-            if at >= pool.answers {
+            let score = rendezvous_score(key, member.owner_hash, member.weight) as f32;
+            let rank = scores[..selection.count].partition_point(|s| *s >= score);
+            if rank >= pool.answers {
                 continue;
             }
-            let last = (into.count + 1).min(pool.answers);
-            scores[at..last].rotate_right(1);
-            into.places[at..last].rotate_right(1);
-            (scores[at], into.places[at]) = (score, place as u8);
-            into.count = last;
+            let end = (selection.count + 1).min(pool.answers);
+            scores[rank..end].rotate_right(1);
+            selection.indexes[rank..end].rotate_right(1);
+            (scores[rank], selection.indexes[rank]) = (score, index as u8);
+            selection.count = end;
         }
     }
 }
 
-/// Leading bits that two nets have in common.
-fn common(one: Net, other: Net) -> u8 {
-    let most = one.length().min(other.length());
-    (0..=most).rev().find(|l| one.shortened(*l) == other.shortened(*l)).unwrap_or(0)
+/// The number of leading bits that two networks have in common.
+fn common_prefix_len(one: Net, other: Net) -> u8 {
+    let shorter = one.prefix_len().min(other.prefix_len());
+    (0..=shorter).rev().find(|l| one.truncated(*l) == other.truncated(*l)).unwrap_or(0)
 }
--- a/dns/src/answer.rs
+++ b/dns/src/answer.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use elmtide_ratelimit::{Kind, Limiter, Verdict};
-use elmtide_steering::{Choice, Net, View};
+use elmtide_steering::{Net, SelectionKind, View};
 
 use crate::cookie::{Secrets, Standing};
 use crate::edns::{ExtendedError, Said};
@@ -595,7 +595,7 @@
         }
         let chosen = self.view.choose(*pool, self.client, v6);
         self.scope = self.scope.max(chosen.scope);
-        self.last_resort |= chosen.choice == Choice::LastResort;
+        self.last_resort |= chosen.kind == SelectionKind::LastResort;
         let (start, count) = (self.out.len(), self.sections[section]);
         for address in chosen.iter() {
             let fits = match address {
--- a/dns/suite/src/zone.rs
+++ b/dns/suite/src/zone.rs
@@ -64,7 +64,7 @@
     let file: File = toml::from_str(&text()?).map_err(|e| e.to_string())?;
     let pools = file.name.iter().map(|n| Pool {
         members: n.addresses.iter().map(|a| (*a, None)).collect(),
-        answers: elmtide_steering::MOST,
+        answers: elmtide_steering::MAX_ANSWER_ADDRESSES,
     });
     let layout = Layout::new(vec![], vec![], vec![], pools.collect(), Policy::default());
     let steered = file.name.iter().enumerate().map(|(place, n)| Steered {
--- a/front/src/edge/config.rs
+++ b/front/src/edge/config.rs
@@ -521,16 +521,16 @@
                     owners.get(ip).ok_or_else(|| told(format!("{ip} is none of our http addresses")))?;
                 members.push((*ip, *owner));
             }
-            let answers = entry.answers.unwrap_or(elmtide_steering::MOST);
+            let answers = entry.answers.unwrap_or(elmtide_steering::MAX_ANSWER_ADDRESSES);
             let pool = Pool { members, answers };
-            if answers == 0 || answers > elmtide_steering::MOST {
-                return Err(told(format!("answers is 1 to {}", elmtide_steering::MOST)));
+            if answers == 0 || answers > elmtide_steering::MAX_ANSWER_ADDRESSES {
+                return Err(told(format!("answers is 1 to {}", elmtide_steering::MAX_ANSWER_ADDRESSES)));
             }
             each_once("an address", entry.addresses.iter()).map_err(told)?;
             pools.push(pool);
         }
         let all = owners.iter().take(256).map(|(ip, front)| (*ip, *front)).collect();
-        pools.push(Pool { members: all, answers: elmtide_steering::MOST });
+        pools.push(Pool { members: all, answers: elmtide_steering::MAX_ANSWER_ADDRESSES });
         Layout::new(fronts, branches, subnets, pools, self.steering.policy()).map_err(|e| e.to_string())
     }
 
@@ -628,7 +628,7 @@
     #[case("[[name]]\nname = \"BRANCH\"\naddresses = []", "a name is there twice: branch")]
     #[case(
         "[[branch]]\nname = \"b\"\n[[subnet]]\nnet = \"10.0.0.1/8\"\nbranch = \"b\"",
-        "subnet \"10.0.0.1/8\": bits behind"
+        "subnet \"10.0.0.1/8\": bits are set beyond the prefix length"
     )]
     #[case("[[subnet]]\nnet = \"10.0.0.0/8\"\nbranch = \"b\"", "subnet 10.0.0.0/8: there is no branch b")]
     #[case("[[branch]]\nname = \"b\"\noverflow = \"c\"", "branch b: there is no branch c")]
@@ -637,7 +637,7 @@
     #[case("[steering]\nwatch_ms = 1", "steering: watch_ms is 1")]
     #[case("[transfer]\nkeys = [\"k\"]", "transfer: key k is named but there is no key_file")]
     #[case("[transfer]\nnotify = [\"10.0.0.1:53\"]", "10.0.0.1 is no loopback address")]
-    #[case("[[front]]\nname = \"n2\"\nweight = 0.0", "front n2: its weight is above 0")]
+    #[case("[[front]]\nname = \"n2\"\nweight = 0.0", "front n2: weight must be above 0")]
     #[case("[[front]]\nname = \"n2\"\nbranch = \"b\"", "front n2: there is no branch b")]
     #[case("[[front]]\nname = \"n2\"\ncling_s = inf", "front n2: cling_s is 0 to 3600")]
     fn errors_name_entry_and_cause(#[case] entry: &str, #[case] told: &str) {
--- a/front/src/lifecycle/edge.rs
+++ b/front/src/lifecycle/edge.rs
@@ -16,7 +16,7 @@
 use elmtide_dns::tsig::Keys;
 use elmtide_dns::wire::{parse_name, shown};
 use elmtide_dns::zone::Zone;
-use elmtide_steering::{Away, BranchId, Condition, FrontId, Steering};
+use elmtide_steering::{BranchId, Condition, FailoverRoute, FrontId, Steering};
 
 use crate::edge::config::{EdgeConfig, FrontState};
 use crate::edge::in_force::{Former, InForce, State};
@@ -255,7 +255,7 @@
         let mut steering = Steering::new(meaning.layout.clone(), 0, now);
         if let Some(running) = &live.steering {
             let mut kept = running.clone();
-            kept.relayout(meaning.layout.clone(), now);
+            kept.apply_layout(meaning.layout.clone(), now);
             steering = kept;
         }
         self.report_file(&mut steering, to, now);
@@ -466,12 +466,12 @@
         };
         let own = live.own;
         let Some(steering) = &mut live.steering else { return };
-        if let Some(id) = steering.layout().front(&self.name) {
+        if let Some(id) = steering.layout().front_by_name(&self.name) {
             steering.report(id, own, now);
         }
         self.report_file(steering, config, now);
         if let Some(watched) = &self.site.sites {
-            steering.send_away(away(watched, config));
+            steering.set_failover_routes(failover_routes(watched, config));
         }
         steering.tick(now);
         let view = steering.view();
@@ -487,7 +487,7 @@
 }
 
 /// Where clients of the file's branches go by the plan in force, for branches that are sites and not whole.
-fn away(failover: &SiteFailover, config: &EdgeConfig) -> Vec<(BranchId, Away)> {
+fn failover_routes(failover: &SiteFailover, config: &EdgeConfig) -> Vec<(BranchId, FailoverRoute)> {
     let current = failover.current();
     let place = |branch: usize| {
         let name = &failover.sites().layout.branches.get(branch)?.name;
@@ -496,8 +496,8 @@
     let displaced = current.routing().branches().iter().enumerate().filter(|(_, b)| b.home_fraction < 1.0);
     let away = displaced.filter_map(|(branch, routing)| {
         let destinations = routing.destinations.iter();
-        let to = destinations.filter_map(|d| Some((place(d.branch)?, d.interval_end))).collect();
-        Some((place(branch)?, Away { home: routing.home_fraction, to }))
+        let targets = destinations.filter_map(|d| Some((place(d.branch)?, d.interval_end))).collect();
+        Some((place(branch)?, FailoverRoute { home_fraction: routing.home_fraction, targets }))
     });
     away.collect()
 }
--- a/front/src/server/clients.rs
+++ b/front/src/server/clients.rs
@@ -95,11 +95,11 @@
         let has_sent_request = self.has_sent_request.load(Relaxed);
         let has_partial_request = has_sent_request && self.receive_deadline_ms.load(Relaxed) > 0;
         let activity = ConnectionActivity {
-            owes_answer: self.open_requests.load(Relaxed) > 0,
+            has_pending_response: self.open_requests.load(Relaxed) > 0,
             partial_requests: usize::from(has_partial_request),
             has_partial_input: false,
             has_unread_input: self.has_unread_bytes(),
-            has_brought_request: has_sent_request,
+            has_received_request: has_sent_request,
         };
         let already_closed = self.is_closing.load(Relaxed);
         self.protocol == Protocol::Http
--- a/front/src/server/fastcgi.rs
+++ b/front/src/server/fastcgi.rs
@@ -198,13 +198,13 @@
     /// The activity of the connection, as far as a drain decides by it.
     pub fn activity(&self) -> ConnectionActivity {
         ConnectionActivity {
-            owes_answer: self.owes_answer(),
+            has_pending_response: self.owes_answer(),
             partial_requests: self.partial_requests.len(),
             has_partial_input: !self.input.is_empty(),
             // This costs a system call and does not matter while an answer is owed.
             has_unread_input: !self.owes_answer() && self.client.has_unread_bytes(),
             // Just before the process exits, connections are closed whether or not they have sent a request.
-            has_brought_request: self.has_received_request || self.mode().is_finishing(),
+            has_received_request: self.has_received_request || self.mode().is_finishing(),
         }
     }
 
