--- a/front/src/fleet/config.rs
+++ b/front/src/fleet/config.rs
@@ -1,5 +1,5 @@
-//! The fleet's file, `deploy/fleet.toml`: the fronts, who votes, the budgets and their guaranteed minimums. Without it nothing of
-//! the fleet is there: no socket, thread, file or cost.
+//! The fleet's file, `deploy/fleet.toml`: the fronts, the voters, the budgets and their guaranteed minimums. Without
+//! the file the fleet is off and has no socket, thread, file or cost.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,8 +14,8 @@
 use crate::fleet::site_directory::{SiteEntry, SitesEntry};
 use crate::process::log::LogForm;
 
-/// Where the file is, if nothing else is said.
-pub const FILE: &str = "deploy/fleet.toml";
+/// The path of the file unless another one is given.
+pub const DEFAULT_PATH: &str = "deploy/fleet.toml";
 
 fn default_tick_ms() -> f64 {
     50.0
@@ -33,78 +33,91 @@
     50.0
 }
 
+/// The content of the fleet's file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetConfig {
-    /// Its name is in every MAC.
+    /// The name of the installation, which is part of every MAC.
     pub installation: String,
-    /// One line of at least 32 hex digits, of mode 0600.
+    /// The file of the key: one line of at least 32 hex digits, with mode 0600.
     pub key_file: PathBuf,
-    /// Of this list; a higher one takes the place of a lower.
+    /// Version of the list of fronts; a higher version replaces a lower one.
     pub version: u64,
-    /// The store; none only with `no_store = true`.
+    /// Path of the store; may be absent only with `no_store = true`.
     pub store: Option<PathBuf>,
+    /// Runs this front without a store.
     #[serde(default)]
     pub no_store: bool,
+    /// Duration of a tick of the node.
     #[serde(default = "default_tick_ms")]
     pub tick_ms: f64,
+    /// Duration of a lease.
     #[serde(default = "default_lease_ms")]
     pub lease_ms: f64,
-    /// How much faster one machine's clock may run than another's.
+    /// Maximum relative difference in rate between the clocks of two machines.
     #[serde(default = "default_drift")]
     pub drift: f64,
-    /// How far a machine's two clocks may part during a lease.
+    /// Maximum divergence of a machine's wall clock and monotonic clock during a lease.
     #[serde(default = "default_gap_ms")]
     pub gap_ms: f64,
-    /// Where each spending is written down; for tests and trials.
+    /// Path of the spend log; for tests and trials.
     pub record: Option<PathBuf>,
-    /// Where `elmtide fleet` asks.
+    /// Path of the operators' socket.
     pub look: Option<PathBuf>,
+    /// The form of log lines.
     #[serde(default)]
     pub log: LogForm,
+    /// All fronts.
     #[serde(default)]
     pub front: Vec<FrontEntry>,
+    /// The budgets that the fronts share.
     #[serde(default)]
     pub budget: Vec<BudgetEntry>,
-    /// Machines go out for work by these bounds; without it, none do.
+    /// Limits of maintenance; without them no machine goes into maintenance.
     pub work: Option<WorkEntry>,
+    /// The machines that may go into maintenance.
     #[serde(default)]
     pub machine: Vec<MachineEntry>,
-    /// For the plan of a loss; see `elmtide site plan`.
+    /// Settings of site failover; see `elmtide site plan`.
     pub sites: Option<SitesEntry>,
+    /// The sites.
     #[serde(default)]
     pub site: Vec<SiteEntry>,
 }
 
-/// Bounds of machines that are out for work together; 0 is none.
+/// Limits of machines that are in maintenance at the same time; 0 means no limit.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WorkEntry {
-    /// Of one kind at one location.
+    /// Machines of one kind at one location.
     #[serde(default = "default_limit")]
     pub per_location: u16,
+    /// Machines of one hub.
     #[serde(default = "default_limit")]
     pub per_hub: u16,
+    /// Machines of one kind.
     #[serde(default)]
     pub per_kind: u16,
-    /// What is left at a location bears the measured load and so many hundredths more.
+    /// The machines that remain at a location must bear the measured load plus this margin.
     #[serde(default = "default_margin_percent")]
     pub margin_percent: u32,
-    /// And one further loss.
+    /// They must also bear the loss of the largest of them.
     #[serde(default = "enabled")]
     pub further_loss: bool,
+    /// What shows that a machine has returned.
     #[serde(default)]
     pub back: BackEntry,
-    /// Never out together.
+    /// Pairs of machines that are never in maintenance together.
     #[serde(default)]
     pub pairs: Vec<(String, String)>,
-    /// Hours (UTC) in which nothing new goes out, as `"07:00-19:30"`.
+    /// Hours (UTC) in which no further machine goes into maintenance, as `"07:00-19:30"`.
     #[serde(default)]
     pub closed: Vec<String>,
-    /// Commands that the leader runs at a step (`next`, `leave`, `empty`, `release`, `return`, `in`, `overdue`, `call-back`), argument by
-    /// argument; the machine's name follows as the last one.
+    /// Commands with their arguments that the leader runs at a step (`next`, `leave`, `empty`, `release`, `return`,
+    /// `in`, `overdue`, `call-back`); the machine's name is appended as the last argument.
     #[serde(default)]
     pub hooks: BTreeMap<String, Vec<String>>,
+    /// Timeout of a hook.
     #[serde(default = "default_hook_seconds")]
     pub hook_seconds: f64,
 }
@@ -125,27 +138,37 @@
     true
 }
 
+/// What shows that a machine has returned from maintenance.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum BackEntry {
+    /// The bus lists it.
     #[default]
     Bus,
+    /// An operator confirms it.
     Word,
+    /// The bus lists it and an operator confirms it.
     Both,
 }
 
+/// A machine that may go into maintenance.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MachineEntry {
-    /// As the bus calls it, or any name where its address is told.
+    /// Its name on the bus, or any name if its address is given.
     pub name: String,
+    /// Its address, which identifies it whatever name the bus gives it.
     pub address: Option<SocketAddr>,
+    /// Its location; may be empty.
     #[serde(default)]
     pub location: String,
+    /// Its hub; may be empty.
     #[serde(default)]
     pub hub: String,
+    /// Its kind; limits apply to machines of one kind.
     #[serde(default = "cache_kind")]
     pub kind: String,
+    /// Its capacity, as a multiple of a machine of weight one.
     #[serde(default = "default_weight")]
     pub weight: f64,
     /// The front that runs on it.
@@ -160,32 +183,39 @@
     1.0
 }
 
+/// A front of the fleet.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FrontEntry {
+    /// Its name.
     pub name: String,
-    /// Where the others send to.
+    /// The address that the other fronts send to.
     pub address: SocketAddr,
-    /// Where it listens, if that is not where the others send to.
+    /// The address that it binds, if that is another one.
     pub listen: Option<SocketAddr>,
+    /// Its site; may be empty.
     #[serde(default)]
     pub site: String,
+    /// Whether it is a voter.
     #[serde(default)]
     pub votes: bool,
 }
 
+/// A budget that the fronts share.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BudgetEntry {
+    /// Name of its kind.
     pub kind: String,
-    /// Units a second, and units at once; `running` units at a time. Cold boxes have theirs from the settings.
+    /// Units per second. Budgets of cold cache nodes have their size from the settings.
     #[serde(default)]
     pub rate: f64,
+    /// Units at once; for budgets of running requests, units at the same time.
     #[serde(default)]
     pub burst: f64,
-    /// Part of it that is divided into floors.
+    /// Fraction of it that is divided into the fronts' guaranteed minimums.
     pub floor: f64,
-    /// Of a shop's budget.
+    /// The shop, for a shop's budget.
     pub shop: Option<String>,
 }
 
@@ -193,7 +223,7 @@
     /// The kind of the budget.
     ///
     /// # Errors
-    /// If there is no such kind.
+    /// If the kind does not exist.
     pub fn kind(&self) -> Result<BudgetKind, FleetConfigError> {
         BudgetKind::from_name(&self.kind)
             .ok_or_else(|| FleetConfigError::UnknownBudget { kind: self.kind.clone() })
@@ -204,7 +234,7 @@
     /// Reads and checks a file.
     ///
     /// # Errors
-    /// If it can't be read, is too large, or is wrong; the path is named.
+    /// If the file can't be read, is too large or is invalid; the error names the path.
     pub fn load(path: &Path) -> Result<FleetConfig, FleetConfigError> {
         let failed = |error: FleetConfigError| FleetConfigError::File {
             path: path.to_owned(),
@@ -218,42 +248,42 @@
         FleetConfig::parse(&text).map_err(failed)
     }
 
-    /// Reads and checks a file's text.
+    /// Parses and checks a file's text.
     ///
     /// # Errors
-    /// If it is wrong.
+    /// If it is invalid.
     pub fn parse(text: &str) -> Result<FleetConfig, FleetConfigError> {
         let config: FleetConfig = toml::from_str(text)?;
         config.check()?;
         Ok(config)
     }
 
-    /// The entry of a front.
-    pub fn own(&self, name: &str) -> Option<&FrontEntry> {
+    /// The entry of the front with this name.
+    pub fn front_entry(&self, name: &str) -> Option<&FrontEntry> {
         self.front.iter().find(|front| front.name == name)
     }
 
-    /// The key of the fleet's datagrams, from the file that this one names.
+    /// Reads the key of the fleet's datagrams from [`FleetConfig::key_file`].
     ///
     /// # Errors
-    /// If the file can't be read, others may read it, or it has no key; the path is named.
+    /// If the key's file can't be read, is readable by others or holds no key; the error names the path.
     pub fn key(&self) -> Result<Vec<u8>, FleetConfigError> {
         read_key(&self.key_file).map_err(|error| FleetConfigError::Key { path: self.key_file.clone(), error })
     }
 
-    /// Where a front of this name answers operators.
+    /// Path of the operators' socket of the front with this name.
     pub fn operator_socket(&self, name: &str) -> PathBuf {
-        let usual = || std::env::temp_dir().join(format!("elmtide-{name}-fleet.sock"));
-        self.look.clone().unwrap_or_else(usual)
+        let default_path = || std::env::temp_dir().join(format!("elmtide-{name}-fleet.sock"));
+        self.look.clone().unwrap_or_else(default_path)
     }
 }
 
 fn read_key(path: &Path) -> Result<Vec<u8>, KeyError> {
-    let about = std::fs::metadata(path)?;
-    if about.permissions().mode() & 0o077 != 0 {
+    let metadata = std::fs::metadata(path)?;
+    if metadata.permissions().mode() & 0o077 != 0 {
         return Err(KeyError::ReadableByOthers);
     }
-    if about.len() > MAX_KEY_FILE_BYTES {
+    if metadata.len() > MAX_KEY_FILE_BYTES {
         return Err(KeyError::TooLarge);
     }
     let text = std::fs::read_to_string(path)?;
--- a/front/src/fleet/config/tests.rs
+++ b/front/src/fleet/config/tests.rs
@@ -1,10 +1,10 @@
-//! Files that are read, files that are refused, and the settings that a golden file makes.
+//! Valid files, invalid files, and the settings made from a golden file.
 
 use super::*;
 use elmtide_budgets::MinimumRule;
 use rstest::rstest;
 
-const GOOD: &str = r#"
+const VALID: &str = r#"
     installation = "duna"
     key_file = "fleet.key"
     version = 1
@@ -21,21 +21,21 @@
 "#;
 
 #[test]
-fn a_good_file_is_read() {
-    let config = FleetConfig::parse(GOOD).unwrap();
+fn a_valid_file_is_parsed() {
+    let config = FleetConfig::parse(VALID).unwrap();
     let settings = config.settings(3000.0).unwrap();
     assert_eq!(settings.minimums, [(BudgetKind::Retries, MinimumRule { set_aside: 200_000, unit: 20_000 })]);
     assert_eq!((settings.lease.duration, settings.tick), (2_000_000, 50_000));
 }
 
 #[rstest]
-#[case("version = 1", "version = 0", "version begins")]
-#[case("store = \"fleet.redb\"", "", "name a store")]
+#[case("version = 1", "version = 0", "version must be at least 1")]
+#[case("store = \"fleet.redb\"", "", "set either store")]
 #[case("votes = true", "", "0 fronts vote")]
 #[case("rate = 100.0", "rate = -1.0", "rate of retries")]
-#[case("kind = \"retries\"", "kind = \"hopes\"", "not known")]
+#[case("kind = \"retries\"", "kind = \"hopes\"", "unknown kind of budget")]
 #[case("floor = 0.2", "floor = 1.5", "floor of retries")]
-#[case("floor = 0.2", "floor = 0.2\nshop = \"x\"", "names its shop")]
+#[case("floor = 0.2", "floor = 0.2\nshop = \"x\"", "must name its shop")]
 #[case("version = 1", "version = 1\nlease_ms = 10.0", "lease_ms")]
 #[case("version = 1", "versions = 1", "versions")]
 #[case("[[budget]]", "[[machine]]\nname = \"c-1\"\n[[budget]]", "without [work]")]
@@ -43,12 +43,12 @@
 #[case("[[budget]]", "[work]\npairs = [[\"a\", \"b\"]]\n[[budget]]", "there is no machine")]
 #[case("[[budget]]", "[work]\nhooks = { fly = [\"x\"] }\n[[budget]]", "there is no step")]
 #[case("[[budget]]", "[work]\n[[machine]]\nname = \"a\"\nfront = \"n9\"\n[[budget]]", "no [[front]]")]
-fn a_bad_file_says_why(#[case] from: &str, #[case] to: &str, #[case] why: &str) {
-    let said = FleetConfig::parse(&GOOD.replace(from, to)).unwrap_err().to_string();
-    assert!(said.contains(why), "{said}");
+fn an_invalid_file_is_rejected_with_the_cause(#[case] from: &str, #[case] to: &str, #[case] cause: &str) {
+    let message = FleetConfig::parse(&VALID.replace(from, to)).unwrap_err().to_string();
+    assert!(message.contains(cause), "{message}");
 }
 
-/// What all fronts have to agree on, from a file with every key.
+/// The settings on which all fronts must agree, from a file with every key.
 #[test]
 fn the_settings_of_the_golden_file_keep_their_encoding() {
     let golden = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/golden");
--- a/front/src/fleet/config_check.rs
+++ b/front/src/fleet/config_check.rs
@@ -1,4 +1,4 @@
-//! Checks of the fleet's file: what the types can't say.
+//! Checks of the fleet's file that go beyond its types.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,14 +11,14 @@
 use crate::fleet::config_limits::{HOOK_STEPS, MAX_MACHINE_NAME_BYTES};
 use crate::fleet::site_directory::SiteDirectory;
 
-fn check_range(what: impl Into<String>, value: f64, least: f64, most: f64) -> Result<(), FleetConfigError> {
-    if (least..=most).contains(&value) {
+fn check_range(field: impl Into<String>, value: f64, min: f64, max: f64) -> Result<(), FleetConfigError> {
+    if (min..=max).contains(&value) {
         return Ok(());
     }
-    Err(FleetConfigError::OutOfRange { what: what.into(), value, least, most })
+    Err(FleetConfigError::OutOfRange { field: field.into(), value, min, max })
 }
 
-/// Minutes of the day, from and to.
+/// Parses hours such as `07:00-19:30` into their first and last minute of the day.
 pub(super) fn parse_hours(text: &str) -> Option<(u16, u16)> {
     let minute = |text: &str| {
         let (hour, minute) = text.split_once(':')?;
@@ -61,7 +61,7 @@
             return Err(FleetConfigError::VersionZero);
         }
         if self.store.is_some() == self.no_store {
-            return Err(FleetConfigError::StoreUnclear);
+            return Err(FleetConfigError::StoreAmbiguous);
         }
         if self.front.is_empty() || self.front.len() > MAX_FRONTS {
             return Err(FleetConfigError::FrontCount(self.front.len()));
@@ -133,7 +133,7 @@
                 let (machine, weight) = (machine.name.clone(), machine.weight);
                 return Err(FleetConfigError::MachineWeight { machine, weight });
             }
-            if let Some(front) = machine.front.as_ref().filter(|front| self.own(front).is_none()) {
+            if let Some(front) = machine.front.as_ref().filter(|front| self.front_entry(front).is_none()) {
                 let (machine, front) = (machine.name.clone(), front.clone());
                 return Err(FleetConfigError::UnknownHostedFront { machine, front });
             }
--- a/front/src/fleet/config_error.rs
+++ b/front/src/fleet/config_error.rs
@@ -13,147 +13,147 @@
 /// Why the fleet's file can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum FleetConfigError {
-    /// The file that is wrong.
+    /// An error in a file.
     #[error("{}: {error}", path.display())]
     File {
-        /// Where it is.
+        /// Its path.
         path: PathBuf,
-        /// What is wrong.
+        /// The error.
         #[source]
         error: Box<FleetConfigError>,
     },
-    /// The file of the key is wrong.
+    /// The key's file can't be used.
     #[error("{}: {error}", path.display())]
     Key {
-        /// Where it is.
+        /// Its path.
         path: PathBuf,
-        /// What is wrong.
+        /// The error.
         #[source]
         error: KeyError,
     },
-    /// It can't be read.
+    /// The file can't be read.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// It is larger than any such file.
-    #[error("over {MAX_FILE_BYTES} bytes")]
+    /// The file is too large.
+    #[error("the file is larger than {MAX_FILE_BYTES} bytes")]
     TooLarge,
-    /// It is no TOML, or has keys or values that are none.
+    /// The file is not valid TOML, or has unknown keys or values of the wrong type.
     #[error(transparent)]
     Syntax(#[from] toml::de::Error),
-    /// A figure is out of its range.
-    #[error("{what} is {value}, which is not from {least} to {most}")]
+    /// A value is out of range.
+    #[error("{field} is {value}, which is outside the range from {min} to {max}")]
     OutOfRange {
-        /// The key, and of what.
-        what: String,
-        /// The figure.
+        /// The key, with the kind of budget where it belongs to one.
+        field: String,
+        /// The value.
         value: f64,
-        /// The least that is possible.
-        least: f64,
-        /// The most that is possible.
-        most: f64,
+        /// The lowest valid value.
+        min: f64,
+        /// The highest valid value.
+        max: f64,
     },
     /// The version is 0.
-    #[error("version begins at 1")]
+    #[error("version must be at least 1")]
     VersionZero,
-    /// Neither a store nor `no_store`, or both.
-    #[error("name a store, or say no_store = true: one of them")]
-    StoreUnclear,
-    /// No front, or too many.
-    #[error("{0} fronts: from 1 to {MAX_FRONTS} are possible")]
+    /// Neither a store nor `no_store` is set, or both are.
+    #[error("set either store or no_store = true")]
+    StoreAmbiguous,
+    /// There is no front, or there are too many.
+    #[error("{0} fronts are configured: there must be from 1 to {MAX_FRONTS}")]
     FrontCount(usize),
-    /// Two fronts have one name.
-    #[error("two fronts have one name")]
+    /// Two fronts have the same name.
+    #[error("two fronts have the same name")]
     DuplicateFront,
-    /// A number of voters that has no proper majority.
-    #[error("{0} fronts vote: three or five do, or one to try it out")]
+    /// The number of voters is not valid for a majority.
+    #[error("{0} fronts vote: there must be three or five voters, or one for trials")]
     VoterCount(usize),
-    /// A kind of budget that there is none of.
-    #[error("budget {kind:?} is not known; there are {}", budget_kinds())]
+    /// A kind of budget does not exist.
+    #[error("unknown kind of budget {kind:?}; the kinds are {}", budget_kinds())]
     UnknownBudget {
-        /// As the file has it.
+        /// The kind in the file.
         kind: String,
     },
-    /// A shop's budget without its shop, or another one with a shop.
-    #[error("{0}: a shop's budget names its shop, others name none")]
+    /// A shop's budget does not name its shop, or another budget names one.
+    #[error("{0}: a shop's budget must name its shop, and other budgets must not name one")]
     ShopOfBudget(String),
     /// Budgets of one kind have different floors.
-    #[error("{0}: all budgets of a kind have the same floor")]
+    #[error("{0}: all budgets of a kind must have the same floor")]
     DifferentFloors(String),
-    /// Machines without the bounds by which they go into maintenance.
-    #[error("[[machine]] without [work]: say by which bounds they go out")]
+    /// Machines are configured without the limits of maintenance.
+    #[error("[[machine]] without [work]: configure the limits of maintenance")]
     MachinesWithoutWork,
-    /// More machines than are possible.
-    #[error("over {MAX_MACHINES} machines")]
+    /// There are too many machines.
+    #[error("more than {MAX_MACHINES} machines are configured")]
     TooManyMachines,
-    /// Two machines have one name.
-    #[error("two machines have one name")]
+    /// Two machines have the same name.
+    #[error("two machines have the same name")]
     DuplicateMachine,
-    /// A name of a machine that is empty or too long.
-    #[error("machine {0:?}: a name has 1 to 64 bytes")]
+    /// The name of a machine is empty or too long.
+    #[error("machine {0:?}: a name must have 1 to 64 bytes")]
     MachineName(String),
-    /// A weight that is none.
-    #[error("weight of {machine} is {weight}")]
+    /// The weight of a machine is out of range.
+    #[error("the weight of {machine} is {weight}, which is out of range")]
     MachineWeight {
         /// The machine.
         machine: String,
         /// Its weight.
         weight: f64,
     },
-    /// A machine hosts a front that there is none of.
-    #[error("{machine}: no [[front]] has the name {front:?}")]
+    /// A machine hosts a front that does not exist.
+    #[error("{machine}: there is no [[front]] with the name {front:?}")]
     UnknownHostedFront {
         /// The machine.
         machine: String,
-        /// The front that it is said to host.
+        /// The front that it hosts according to the file.
         front: String,
     },
-    /// A pair names a machine that there is none of.
+    /// A pair names a machine that does not exist.
     #[error("pairs: there is no machine {0:?}")]
     UnknownPairedMachine(String),
-    /// Hours of the day that can't be read.
-    #[error("closed: {0:?} is not as \"07:00-19:30\"")]
+    /// Hours of the day can't be parsed.
+    #[error("closed: {0:?} does not have the form \"07:00-19:30\"")]
     Hours(String),
-    /// A hook for a step that there is none of.
-    #[error("hooks: there is no step {step:?}; there are {}", HOOK_STEPS.join(", "))]
+    /// A hook is configured for a step that does not exist.
+    #[error("hooks: there is no step {step:?}; the steps are {}", HOOK_STEPS.join(", "))]
     UnknownHookStep {
-        /// As the file has it.
+        /// The step in the file.
         step: String,
     },
-    /// A hook without a command, or with a time that is none.
-    #[error("hooks: a command, and hook_seconds from 0.1 to 3600")]
+    /// A hook has no command, or the timeout of hooks is out of range.
+    #[error("hooks: each must have a command, and hook_seconds must be from 0.1 to 3600")]
     HookCommand,
-    /// Sites without their table.
+    /// Sites are configured without their settings.
     #[error("[[site]] without [sites]")]
     SitesWithoutTable,
-    /// The tables of sites are wrong.
+    /// The tables of sites are invalid.
     #[error(transparent)]
     Sites(#[from] SiteTableError),
 }
 
-/// Why the key of the fleet can't be had.
+/// Why the key of the fleet can't be read.
 #[derive(Debug, thiserror::Error)]
 pub enum KeyError {
-    /// It can't be read.
+    /// The file can't be read.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// Others than its owner may read it.
-    #[error("others may read it: it has to be of mode 0600")]
+    /// Users other than its owner may read the file.
+    #[error("others may read it: its mode must be 0600")]
     ReadableByOthers,
-    /// It is larger than any key.
-    #[error("it is no key")]
+    /// The file is too large for a key.
+    #[error("it is too large for a key")]
     TooLarge,
-    /// It has something else than enough hex digits.
-    #[error("one line of at least 32 hex digits is wanted")]
+    /// The file is not one line of enough hex digits.
+    #[error("it must be one line of at least 32 hex digits")]
     NotHex,
 }
 
 /// Why tables of sites can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum SiteTableError {
-    /// Two sites have one name.
-    #[error("two sites have one name")]
+    /// Two sites have the same name.
+    #[error("two sites have the same name")]
     DuplicateSite,
-    /// A load of a class that there is none of.
+    /// A load is given for a class that does not exist.
     #[error("site {site}: there is no class {class:?}")]
     UnknownClass {
         /// The site.
@@ -161,7 +161,7 @@
         /// The class.
         class: String,
     },
-    /// A link to a hub that there is none of.
+    /// A link leads to a hub that does not exist.
     #[error("site {site}: there is no hub {hub:?}")]
     UnknownHub {
         /// The site.
@@ -169,17 +169,17 @@
         /// The hub.
         hub: String,
     },
-    /// A pair names a site that there is none of.
+    /// A pair names a site that does not exist.
     #[error("pairs: there is no site {0:?}")]
     UnknownPairedSite(String),
-    /// Figures that no plan can be made by.
+    /// No plan can be made with the figures.
     #[error("{0}")]
     Layout(String),
-    /// A time is out of its range.
-    #[error("sites: a time is not from 10 ms to an hour")]
+    /// A duration is out of range.
+    #[error("sites: a duration is outside the range from 10 ms to one hour")]
     Time,
-    /// More sites than are possible.
-    #[error("over {MAX_SITES} sites")]
+    /// There are too many sites.
+    #[error("more than {MAX_SITES} sites are configured")]
     TooManySites,
 }
 
--- a/front/src/fleet/config_settings.rs
+++ b/front/src/fleet/config_settings.rs
@@ -1,4 +1,5 @@
-//! What the fleet's file means to the crates of the fleet: budgets, leases, machines and sites as all fronts have to agree on them.
+//! Converts the fleet's file to the settings of the fleet's crates: budgets, leases, machines and sites, on which all
+//! fronts must agree.
 
 use std::collections::BTreeMap;
 
@@ -21,17 +22,17 @@
 }
 
 impl BudgetEntry {
-    /// The budget, where the file says how large it is; kinds of which each box has its own are found in service. A link is that
-    /// of the front's own site: each site has one of that size.
+    /// The budget and its size. `None` for kinds of which each cache node has its own: those are found in service. A
+    /// link budget is that of the front's own site; each site has one of this size.
     pub fn total_limit(&self, site: &str) -> Result<Option<(BudgetId, TotalLimit)>, FleetConfigError> {
         let kind = self.kind()?;
         let id = match kind {
             BudgetKind::LinkFills => FrontId::from_name(site).0,
             _ => self.shop.as_deref().map_or(0, |shop| ShopId::of(shop).0),
         };
-        let whole = TotalLimit { rate: self.rate, burst: self.burst, window: 0 };
+        let total = TotalLimit { rate: self.rate, burst: self.burst, window: 0 };
         Ok((kind.spending_model() != SpendingModel::SlidingWindow)
-            .then_some((BudgetId { kind, resource: id }, whole)))
+            .then_some((BudgetId { kind, resource: id }, total)))
     }
 }
 
@@ -40,29 +41,32 @@
 }
 
 impl FleetConfig {
-    /// The machines and their bounds, as all fronts have to agree on them.
+    /// The machines and the limits of maintenance, on which all fronts must agree.
     pub fn maintenance_settings(&self) -> Option<MaintenanceSettings> {
         let work = self.work.as_ref()?;
-        let number = |of: &dyn Fn(&MachineEntry) -> String| {
+        let sorted_names = |of: &dyn Fn(&MachineEntry) -> String| {
             let mut names: Vec<String> = self.machine.iter().map(of).filter(|n| !n.is_empty()).collect();
             names.sort_unstable();
             names.dedup();
             names
         };
-        let (locations, hubs, kinds) =
-            (number(&|m| m.location.clone()), number(&|m| m.hub.clone()), number(&|m| m.kind.clone()));
-        // Nought is for no name.
-        let place = |names: &[String], name: &str| {
-            names.binary_search_by(|n| n[..].cmp(name)).map_or(0, |place| place as u16 + 1)
+        let (locations, hubs, kinds) = (
+            sorted_names(&|m| m.location.clone()),
+            sorted_names(&|m| m.hub.clone()),
+            sorted_names(&|m| m.kind.clone()),
+        );
+        // 0 stands for no name.
+        let index_of = |names: &[String], name: &str| {
+            names.binary_search_by(|n| n[..].cmp(name)).map_or(0, |index| index as u16 + 1)
         };
         let spec = |m: &MachineEntry| MachineSpec {
             name: m.name.clone(),
-            location: place(&locations, &m.location),
-            hub: place(&hubs, &m.hub),
-            kind: place(&kinds, &m.kind),
+            location: index_of(&locations, &m.location),
+            hub: index_of(&hubs, &m.hub),
+            kind: index_of(&kinds, &m.kind),
             weight: (m.weight * 1000.0) as u32,
             address: m.address,
-            front: m.front.as_ref().and_then(|f| self.own(f)).map(FrontEntry::hosted),
+            front: m.front.as_ref().and_then(|f| self.front_entry(f)).map(FrontEntry::hosted),
         };
         let pair = |(a, b): &(String, String)| (MachineId::from_name(a), MachineId::from_name(b));
         let disruption_budget = DisruptionBudget {
@@ -82,19 +86,19 @@
         Some(MaintenanceSettings { machines: self.machine.iter().map(spec).collect(), disruption_budget })
     }
 
-    /// `longest`: the longest deadline of a request, in milliseconds.
-    pub fn lease_settings(&self, longest: f64) -> LeaseSettings {
+    /// Durations and clock tolerances of leases. `max_deadline_ms` is the longest deadline of a request.
+    pub fn lease_settings(&self, max_deadline_ms: f64) -> LeaseSettings {
         LeaseSettings {
             duration: micros(self.lease_ms),
             drift: self.drift,
             slack: micros(2.0 * self.tick_ms),
             max_clock_divergence: micros(self.gap_ms),
-            max_request_deadline: micros(longest),
+            max_request_deadline: micros(max_deadline_ms),
         }
     }
 
-    /// What all fronts have to agree on.
-    pub fn settings(&self, longest: f64) -> Result<FleetSettings, FleetConfigError> {
+    /// The settings on which all fronts must agree. `max_deadline_ms` is the longest deadline of a request.
+    pub fn settings(&self, max_deadline_ms: f64) -> Result<FleetSettings, FleetConfigError> {
         let mut sites: Vec<&str> = self.front.iter().map(|f| &f.site[..]).collect();
         sites.sort_unstable();
         sites.dedup();
@@ -105,29 +109,30 @@
             site: site(&f.site),
             is_voter: f.votes,
         });
-        let mut floors = BTreeMap::new();
+        let mut minimums = BTreeMap::new();
         for budget in &self.budget {
             let kind = budget.kind()?;
-            // One unit over the burst: a floor below it is of no use. Windows and wholes in parts have no least one.
-            let least = match kind.spending_model() {
+            // A minimum below one unit of the burst is of no use. Sliding windows and totals in parts have no such
+            // unit.
+            let min_unit = match kind.spending_model() {
                 SpendingModel::SlidingWindow => 1,
                 _ => (f64::from(TOTAL) / budget.burst).ceil().clamp(1.0, f64::from(TOTAL)) as u32,
             };
-            let parts = (budget.floor * f64::from(TOTAL)) as u32;
-            floors.insert(kind, MinimumRule { set_aside: parts, unit: least });
+            let reserved_parts = (budget.floor * f64::from(TOTAL)) as u32;
+            minimums.insert(kind, MinimumRule { set_aside: reserved_parts, unit: min_unit });
         }
         Ok(FleetSettings {
             version: self.version,
             fronts: fronts.collect(),
-            minimums: floors.into_iter().collect(),
-            lease: self.lease_settings(longest),
+            minimums: minimums.into_iter().collect(),
+            lease: self.lease_settings(max_deadline_ms),
             tick: micros(self.tick_ms),
             maintenance: self.maintenance_settings(),
             sites: self.failover_settings(),
         })
     }
 
-    /// Sites as all fronts have to agree on them; none without fronts that are of one.
+    /// The settings of site failover, on which all fronts must agree; `None` if no front belongs to a site.
     fn failover_settings(&self) -> Option<FailoverSettings> {
         let table = self.sites.as_ref()?;
         let fronts: BTreeMap<FrontId, SiteId> = self
@@ -144,8 +149,10 @@
         })
     }
 
+    /// The fronts that belong to a site, each with its site.
     pub fn fronts_of_sites(&self) -> Vec<(String, SiteId)> {
-        let site = |name: &str| self.site.iter().position(|s| s.name == name).map(|p| SiteId(p as u16));
+        let site =
+            |name: &str| self.site.iter().position(|s| s.name == name).map(|index| SiteId(index as u16));
         self.front.iter().filter_map(|f| Some((f.name.clone(), site(&f.site)?))).collect()
     }
 }
--- a/front/src/fleet/datagram_socket.rs
+++ b/front/src/fleet/datagram_socket.rs
@@ -1,7 +1,8 @@
-//! The fleet's socket: datagrams of the other fronts, and whatever else is sent there.
+//! The fleet's socket. It receives datagrams of the other fronts, and whatever else is sent to it.
 //!
-//! Invariant: in one turn nobody has more than [`MAX_PER_SENDER`] datagrams taken, and a sender that floods fills a queue of its own
-//! ([`DatagramListener`]). Who is a front of the fleet is told apart later, by signature.
+//! Invariant: one call of [`FleetSocket::receive`] returns at most [`MAX_PER_SENDER`] datagrams of a sender from the
+//! shared queue, and a flooding sender fills only a queue of its own ([`DatagramListener`]). Which senders are fronts
+//! of the fleet is decided later, by the datagram's MAC.
 
 use std::collections::HashMap;
 use std::io;
@@ -19,13 +20,13 @@
 use crate::process::datagram_listener::{DatagramListener, Isolation, ReleaseTimer};
 use crate::process::socket_error::{remedy, Call, Remedy};
 
-/// Most datagrams that are taken from the shared queue in one turn.
-const MAX_PER_TURN: usize = 256;
-/// Most datagrams of one address in one turn: nobody has the thread for itself.
+/// Maximum number of datagrams that one call reads from the shared queue.
+const MAX_PER_CALL: usize = 256;
+/// Maximum number of datagrams of one address in one call, so that no sender occupies the thread alone.
 const MAX_PER_SENDER: usize = 64;
-/// Longer than any datagram of a front.
+/// Size of the receive buffer; longer than any datagram of a front.
 const RECEIVE_BUFFER_BYTES: usize = 2048;
-/// Pauses between reads that the system refuses.
+/// Pauses between failed reads: the first and the longest.
 const FAILED_RECEIVE_PAUSE: (Duration, Duration) = (Duration::from_millis(1), Duration::from_millis(50));
 
 /// The fleet's socket, read by one thread.
@@ -35,12 +36,15 @@
     release_timer: ReleaseTimer,
     counters: Arc<DatagramCounters>,
     backoff: Backoff,
-    /// Nothing is read until then: the system has refused it.
+    /// After a failed read, the time until which nothing is read.
     resume_at: Option<Instant>,
-    crowded: u64,
+    /// See [`FleetSocket::over_limit`].
+    over_limit: u64,
 }
 
 impl FleetSocket {
+    /// Binds the socket and registers its counters.
+    ///
     /// # Errors
     /// If the address can't be bound.
     pub fn bind(address: SocketAddr, counters: Arc<DatagramCounters>) -> io::Result<FleetSocket> {
@@ -54,17 +58,19 @@
             counters,
             backoff: Backoff::new(FAILED_RECEIVE_PAUSE.0, FAILED_RECEIVE_PAUSE.1),
             resume_at: None,
-            crowded: 0,
+            over_limit: 0,
         })
     }
 
+    /// The address that the socket is bound to.
+    ///
     /// # Errors
-    /// As the system call.
+    /// If the system call fails.
     pub fn local_addr(&self) -> io::Result<SocketAddr> {
         self.listener.shared.local_addr()
     }
 
-    /// Something that wakes the thread in [`FleetSocket::wait`].
+    /// A waker that ends [`FleetSocket::wait`].
     ///
     /// # Errors
     /// If the socket can't be duplicated.
@@ -72,23 +78,24 @@
         Waker::new(&self.listener.shared, self.local_addr()?)
     }
 
-    /// Datagrams of one address above its part of a turn, which were not looked at.
-    pub fn crowded(&self) -> u64 {
-        self.crowded
+    /// Number of datagrams that were dropped unread because they exceeded [`MAX_PER_SENDER`].
+    pub fn over_limit(&self) -> u64 {
+        self.over_limit
     }
 
-    /// Waits for a datagram, or for so long.
+    /// Waits until a datagram can be read, for at most `timeout`.
     pub fn wait(&self, timeout: Duration) {
         if let Some(resume_at) = self.resume_at {
             return std::thread::sleep(timeout.min(resume_at.saturating_duration_since(Instant::now())));
         }
-        let all = self.listener.isolated.sockets_in_use().iter().chain([&self.listener.shared]);
-        let mut descriptors: Vec<PollFd<'_>> = all.map(|socket| PollFd::new(socket, PollFlags::IN)).collect();
+        let sockets = self.listener.isolated.sockets_in_use().iter().chain([&self.listener.shared]);
+        let mut descriptors: Vec<PollFd<'_>> =
+            sockets.map(|socket| PollFd::new(socket, PollFlags::IN)).collect();
         let timeout = Timespec { tv_sec: timeout.as_secs() as _, tv_nsec: timeout.subsec_nanos().into() };
         let _ = poll(&mut descriptors, Some(&timeout));
     }
 
-    /// What has come: a turn's part of it. An empty datagram only woke the thread, and is passed over.
+    /// Reads waiting datagrams, up to the limits of one call. An empty datagram only wakes the thread and is skipped.
     pub fn receive(&mut self) -> Vec<Vec<u8>> {
         self.release_timer.turn(&self.listener.isolated, clock::steady_ms());
         let mut datagrams = Vec::new();
@@ -110,7 +117,7 @@
         self.resume_at = None;
         let now = clock::steady_ms();
         let mut by_sender: HashMap<SocketAddr, usize> = HashMap::new();
-        for _ in 0..MAX_PER_TURN {
+        for _ in 0..MAX_PER_CALL {
             let (length, from) = match self.listener.shared.recv_from(buffer) {
                 Ok(received) => received,
                 Err(error) => match remedy(Call::ReceiveDatagram, &error) {
@@ -128,20 +135,20 @@
             let count = by_sender.entry(from).or_default();
             *count += 1;
             if *count > MAX_PER_SENDER {
-                self.crowded += 1;
+                self.over_limit += 1;
             } else {
                 datagrams.push(buffer[..length].to_vec());
             }
         }
     }
 
-    /// A socket that can't be read stays readable: without a pause the thread would turn without a rest.
+    /// A socket whose reads fail stays readable: without a pause the thread would loop without waiting.
     fn back_off(&mut self) {
         self.counters.receive_failed.fetch_add(1, Relaxed);
         self.resume_at = Some(Instant::now() + self.backoff.pause());
     }
 
-    /// Sends a datagram. What is lost is sent again by whoever misses an answer.
+    /// Sends a datagram. One that is lost is sent again by the node that misses an answer.
     pub fn send(&self, to: SocketAddr, datagram: &[u8]) {
         let socket: &UdpSocket = &self.listener.shared;
         let counter = match socket.send_to(datagram, to) {
--- a/front/src/fleet/display_names.rs
+++ b/front/src/fleet/display_names.rs
@@ -1,4 +1,4 @@
-//! Names of machines and fronts in texts for operators: replies, reasons to wait, log lines.
+//! Texts for operators with names of machines and fronts: replies, wait reasons and log lines.
 
 use std::collections::BTreeMap;
 
@@ -9,14 +9,17 @@
 use crate::fleet::config::FleetConfig;
 use crate::fleet::operator_request::OperatorReply;
 
-/// DisplayNames of machines and fronts, for texts.
+/// The names of machines and fronts by id.
 #[derive(Clone, Debug, Default)]
 pub struct DisplayNames {
+    /// The machines of the fleet's file.
     pub machines: BTreeMap<MachineId, String>,
+    /// The fronts of the fleet's file.
     pub fronts: BTreeMap<FrontId, String>,
 }
 
 impl DisplayNames {
+    /// The names in the fleet's file.
     pub fn from_config(config: &FleetConfig) -> DisplayNames {
         DisplayNames {
             machines: config
@@ -28,14 +31,17 @@
         }
     }
 
+    /// The name of a machine, or its id if it has none.
     pub fn machine(&self, machine: MachineId) -> String {
         self.machines.get(&machine).cloned().unwrap_or_else(|| format!("machine {:016x}", machine.0))
     }
 
+    /// The name of a front, or its id if it has none.
     pub fn front(&self, front: FrontId) -> String {
         self.fronts.get(&front).cloned().unwrap_or_else(|| format!("front {:016x}", front.0))
     }
 
+    /// The reply to the operator who submitted a command.
     pub fn reply(&self, outcome: CommandOutcome) -> OperatorReply {
         match outcome {
             CommandOutcome::Maintenance(Ok(job)) if job.0 > 0 => {
@@ -48,7 +54,7 @@
         }
     }
 
-    /// Why, and what would make it possible.
+    /// Why a command was rejected, and how it could succeed.
     pub fn rejection_text(&self, why: CommandRejected) -> String {
         match why {
             CommandRejected::UnknownMachine(machine) => format!(
@@ -78,6 +84,7 @@
         }
     }
 
+    /// What a machine waits for.
     pub fn wait_text(&self, wait: &WaitReason) -> String {
         match wait {
             WaitReason::JobPaused => "its job is held".into(),
@@ -88,11 +95,13 @@
             WaitReason::DisruptionLimit(DisruptionLimit::Pair(other)) => {
                 format!("{} is out, which it is paired with", self.machine(*other))
             }
-            WaitReason::CapacityShortfall { remaining: bears, required: wanted } => format!(
-                "what would be left bears {:.1}, {:.1} are wanted",
-                f64::from(*bears) / 1000.0,
-                f64::from(*wanted) / 1000.0
-            ),
+            WaitReason::CapacityShortfall { remaining: remaining_millis, required: required_millis } => {
+                format!(
+                    "what would be left bears {:.1}, {:.1} are wanted",
+                    f64::from(*remaining_millis) / 1000.0,
+                    f64::from(*required_millis) / 1000.0
+                )
+            }
             WaitReason::Blackout => "nothing new goes out at this hour".into(),
             WaitReason::FrontOverloaded(front) => format!("{} is short of a budget", self.front(*front)),
             WaitReason::MachineLost(machine) => format!("{} is gone or failing", self.machine(*machine)),
@@ -120,7 +129,7 @@
     }
 }
 
-/// The name of a step as hooks and logs have it.
+/// The name of a step in hooks and log lines.
 pub fn step_name(step: Step) -> &'static str {
     match step {
         Step::Schedule => "next",
--- a/front/src/fleet/hooks.rs
+++ b/front/src/fleet/hooks.rs
@@ -1,5 +1,5 @@
-//! Commands that the leader runs at a machine's step: argument by argument, without a shell, within a time limit, a few at a time. A step
-//! may be told twice, by two leaders; the permit's number is the same.
+//! Hooks: commands that the leader runs at a machine's step, without a shell, with a timeout and a maximum number at a
+//! time. A step may run its hook twice, at two leaders; the permit's number is the same in both.
 
 use std::collections::BTreeMap;
 use std::process::{Command, Stdio};
@@ -9,34 +9,38 @@
 
 use crate::process::spawn;
 
-const AT_ONCE: usize = 8;
-const LOOK: Duration = Duration::from_millis(20);
+/// Maximum number of hooks that run at the same time.
+const MAX_RUNNING: usize = 8;
+/// How often a running hook is checked for its end.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
+/// The hooks of the fleet's file, by step.
 #[derive(Clone, Debug)]
 pub struct Hooks {
     commands: BTreeMap<String, Vec<String>>,
-    limit: Duration,
+    timeout: Duration,
     running: Arc<AtomicUsize>,
 }
 
 impl Hooks {
+    /// Takes the command and its arguments for each step, and the timeout of all.
     pub fn new(commands: BTreeMap<String, Vec<String>>, seconds: f64) -> Hooks {
-        Hooks { commands, limit: Duration::from_secs_f64(seconds), running: Arc::default() }
+        Hooks { commands, timeout: Duration::from_secs_f64(seconds), running: Arc::default() }
     }
 
-    /// Runs the command of a step, if there is one, beside the fleet's thread.
+    /// Runs the hook of a step, if there is one, on its own thread. The machine's name is its last argument.
     pub fn run(&self, step: &str, machine: &str) {
         let Some(command) = self.commands.get(step) else { return };
-        if self.running.fetch_add(1, Relaxed) >= AT_ONCE {
+        if self.running.fetch_add(1, Relaxed) >= MAX_RUNNING {
             self.running.fetch_sub(1, Relaxed);
-            tracing::error!(step, machine, "work: too many hooks run: this one is left out");
+            tracing::error!(step, machine, "work: too many hooks are running: this one is skipped");
             return;
         }
-        let (command, limit, running) = (command.clone(), self.limit, self.running.clone());
+        let (command, timeout, running) = (command.clone(), self.timeout, self.running.clone());
         let (step, machine) = (step.to_owned(), machine.to_owned());
         let spawned = spawn("hook", move || {
-            match run(&command, &machine, limit) {
-                Ok(()) => tracing::info!(step, machine, "work: hook done"),
+            match run(&command, &machine, timeout) {
+                Ok(()) => tracing::info!(step, machine, "work: hook succeeded"),
                 Err(why) => tracing::error!(step, machine, why, "work: hook failed"),
             }
             running.fetch_sub(1, Relaxed);
@@ -47,21 +51,21 @@
     }
 }
 
-fn run(command: &[String], machine: &str, limit: Duration) -> Result<(), String> {
+fn run(command: &[String], machine: &str, timeout: Duration) -> Result<(), String> {
     let (program, arguments) = command.split_first().ok_or("no command")?;
     let mut command = Command::new(program);
     command.args(arguments).arg(machine).stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::null());
     let mut child = command.spawn().map_err(|e| format!("{program}: {e}"))?;
-    let began = Instant::now();
+    let started_at = Instant::now();
     loop {
         match child.try_wait() {
             Ok(Some(status)) if status.success() => return Ok(()),
             Ok(Some(status)) => return Err(format!("{program}: {status}")),
-            Ok(None) if began.elapsed() < limit => std::thread::sleep(LOOK),
+            Ok(None) if started_at.elapsed() < timeout => std::thread::sleep(POLL_INTERVAL),
             Ok(None) => {
                 let _ = child.kill();
                 let _ = child.wait();
-                return Err(format!("{program}: not done within {limit:?}"));
+                return Err(format!("{program}: not finished within {timeout:?}"));
             }
             Err(e) => return Err(format!("{program}: {e}")),
         }
@@ -72,17 +76,17 @@
 mod tests {
     use super::*;
 
-    fn words(words: &[&str]) -> Vec<String> {
+    fn owned(words: &[&str]) -> Vec<String> {
         words.iter().map(|w| (*w).to_owned()).collect()
     }
 
     #[test]
-    fn a_hook_has_its_machine_its_end_and_its_limit() {
-        let second = Duration::from_secs(5);
-        assert_eq!(run(&words(&["test", "c-1", "="]), "c-1", second), Ok(()));
-        assert!(run(&words(&["test", "c-1", "="]), "c-2", second).unwrap_err().contains("exit status"));
-        assert!(run(&words(&["no-such-program"]), "c-1", second).is_err());
-        let late = run(&words(&["sleep"]), "20", Duration::from_millis(100));
-        assert!(late.unwrap_err().contains("not done within"));
+    fn a_hook_gets_the_machine_name_and_reports_failures_and_timeouts() {
+        let ample = Duration::from_secs(5);
+        assert_eq!(run(&owned(&["test", "c-1", "="]), "c-1", ample), Ok(()));
+        assert!(run(&owned(&["test", "c-1", "="]), "c-2", ample).unwrap_err().contains("exit status"));
+        assert!(run(&owned(&["no-such-program"]), "c-1", ample).is_err());
+        let timed_out = run(&owned(&["sleep"]), "20", Duration::from_millis(100));
+        assert!(timed_out.unwrap_err().contains("not finished within"));
     }
 }
--- a/front/src/fleet/maintenance_view.rs
+++ b/front/src/fleet/maintenance_view.rs
@@ -1,4 +1,4 @@
-//! What `elmtide work` shows: the JSON object of machines in maintenance, and its text for people.
+//! The status of maintenance that `elmtide work` prints, as JSON or as text.
 
 use std::collections::BTreeMap;
 
@@ -8,49 +8,73 @@
 
 use crate::fleet::display_names::DisplayNames;
 
-/// What `elmtide work` shows.
+/// The status of maintenance.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct MaintenanceStatusView {
+    /// Whether the front is in contact with a leader.
     pub contact: bool,
+    /// The leader, if the front knows it.
     pub leader: Option<String>,
-    /// Milliseconds since the leader said it.
+    /// Milliseconds since the leader sent this status.
     pub age_ms: Option<f64>,
+    /// The jobs.
     pub jobs: Vec<JobView>,
+    /// The machines that are in a job.
     pub machines: Vec<MachineView>,
-    /// Gone or failing without being out for work.
+    /// Machines that are absent or failing without being in maintenance.
     pub missing: Vec<String>,
-    /// Seconds that the middle one of the last ways took.
+    /// Median duration of the last machines' maintenance, in seconds.
     pub took_s: Option<f64>,
 }
 
+/// The progress of a machine in a job.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct MachineView {
+    /// Name of the machine.
     pub machine: String,
+    /// Number of the job.
     pub job: u32,
+    /// Name of the stage that the machine is in.
     pub stage: String,
-    /// Seconds for which it has been there.
+    /// Seconds since it entered the stage.
     pub since_s: f64,
+    /// Number of its permit; 0 if it has none.
     pub permit: u64,
+    /// Whether its maintenance takes longer than the job expected.
     pub overdue: bool,
+    /// Whether its maintenance was cancelled.
     pub called_off: bool,
+    /// What it waits for; may be empty.
     pub why: String,
 }
 
+/// A job.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct JobView {
+    /// Number of the job.
     pub job: u32,
+    /// Name of the operator.
     pub by: String,
+    /// Reason for the maintenance.
     pub reason: String,
+    /// Expected duration of one machine's maintenance; 0 if not specified.
     pub minutes: u32,
+    /// Whether the job is paused.
     pub held: bool,
+    /// Whether the whole job was cancelled.
     pub called_off: bool,
+    /// Number of machines that were requested.
     pub machines: u32,
+    /// Number of machines that are back in service.
     pub done: u32,
+    /// Number of machines that were cancelled before their release.
     pub spared: u32,
+    /// Whether the job has ended.
     pub over: bool,
 }
 
 impl MaintenanceStatusView {
+    /// Makes the status from the leader's details, which are `age_ms` old.
     pub fn new(
         details: &MaintenanceDetails,
         names: &DisplayNames,
@@ -58,17 +82,17 @@
         leader: Option<String>,
         age_ms: f64,
     ) -> MaintenanceStatusView {
-        let waits: BTreeMap<MachineId, WaitReason> = details.wait_reasons.iter().copied().collect();
-        let seconds = |since: u64| details.now_ms.saturating_sub(since) as f64 / 1000.0;
-        let machines = details.progress.iter().map(|(machine, way)| MachineView {
+        let wait_reasons: BTreeMap<MachineId, WaitReason> = details.wait_reasons.iter().copied().collect();
+        let seconds_since = |since: u64| details.now_ms.saturating_sub(since) as f64 / 1000.0;
+        let machines = details.progress.iter().map(|(machine, machine_progress)| MachineView {
             machine: names.machine(*machine),
-            job: way.job.0,
-            stage: way.stage.name().to_owned(),
-            since_s: seconds(way.stage_since_ms),
-            permit: way.permit,
-            overdue: way.is_overdue,
-            called_off: way.is_cancelled,
-            why: waits.get(machine).map_or(String::new(), |wait| names.wait_text(wait)),
+            job: machine_progress.job.0,
+            stage: machine_progress.stage.name().to_owned(),
+            since_s: seconds_since(machine_progress.stage_since_ms),
+            permit: machine_progress.permit,
+            overdue: machine_progress.is_overdue,
+            called_off: machine_progress.is_cancelled,
+            why: wait_reasons.get(machine).map_or(String::new(), |wait| names.wait_text(wait)),
         });
         let jobs = details.jobs.iter().map(|(id, job)| JobView {
             job: id.0,
@@ -93,6 +117,7 @@
         }
     }
 
+    /// Prints the status as text.
     pub fn print(&self) {
         match (self.contact, self.age_ms) {
             (true, _) => println!("leader: {}", self.leader.as_deref().unwrap_or("nobody known")),
--- a/front/src/fleet/mod.rs
+++ b/front/src/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! The fleet: this front among the others. One thread with a UDP socket and a store turns what `elmtide_fleet` says into
-//! inputs of the engine. The engine never asks it anything: it spends by what it has in hand.
+//! This front's part in the fleet. One thread with a UDP socket and a store runs the node of `elmtide_fleet` and turns
+//! its outputs into inputs of the engine. The engine never waits for it: it spends the quotas that it already holds.
 
 pub mod config;
 mod config_check;
@@ -28,4 +28,4 @@
 pub mod start_error;
 pub mod status_view;
 
-pub use start::{start, FleetStart, Started};
+pub use start::{start, FleetStart, StartedFleet};
--- a/front/src/fleet/node_store.rs
+++ b/front/src/fleet/node_store.rs
@@ -1,7 +1,7 @@
-//! The store of this front while its disk may fail for a while.
+//! The store of this front, which recovers from temporary disk failures.
 //!
-//! A store whose write has failed is closed. It is opened again, written anew, as soon as that succeeds; until then nothing is
-//! reported as stored. That is tried on a thread of its own: a disk that is not well may also be slow.
+//! A store is closed when a write fails. It is rewritten and reopened as soon as that succeeds; until then nothing is
+//! reported as stored. Attempts are made on a separate thread, since a failing disk may also be slow.
 
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
@@ -13,7 +13,7 @@
 use crate::process::backoff::Backoff;
 use crate::process::spawn_with_usual_stack;
 
-/// Between two tries to use a failed store again: the first, and the longest.
+/// Pauses between attempts to rewrite a failed store: the first and the longest.
 const RETRY_PAUSE: (Duration, Duration) = (Duration::from_millis(500), Duration::from_secs(5));
 
 /// Why nothing was stored.
@@ -22,16 +22,16 @@
     /// This front has no store.
     #[error("this front has no store")]
     NoStore,
-    /// An earlier write has failed, and the store has not been written anew since.
-    #[error("the store has failed and is not well again")]
+    /// An earlier write has failed, and the store has not been rewritten since.
+    #[error("the store has failed and has not been rewritten yet")]
     StoreFailed,
     /// The write has failed.
     #[error(transparent)]
     Store(#[from] StoreError),
 }
 
-/// What comes of a try to use a failed store again.
-type Rewritten = Result<(Store, RecoveredState), StoreError>;
+/// The result of an attempt to rewrite a failed store.
+type RewriteResult = Result<(Store, RecoveredState), StoreError>;
 
 enum State {
     Absent,
@@ -43,8 +43,8 @@
     path: PathBuf,
     backoff: Backoff,
     retry_at: Instant,
-    /// The try that is being made.
-    attempt: Option<Receiver<Rewritten>>,
+    /// The result of the attempt in progress.
+    attempt: Option<Receiver<RewriteResult>>,
 }
 
 impl FailedStore {
@@ -55,17 +55,17 @@
     }
 
     fn begin_attempt(&mut self, installation: &str) -> std::io::Result<()> {
-        let (done, attempt) = bounded(1);
+        let (result_sender, attempt) = bounded(1);
         let (path, installation) = (self.path.clone(), installation.to_owned());
         let rewrite = move || {
-            let _ = done.send(Store::rewrite(&path, &installation));
+            let _ = result_sender.send(Store::rewrite(&path, &installation));
         };
         spawn_with_usual_stack("store-recovery", rewrite)?;
         self.attempt = Some(attempt);
         Ok(())
     }
 
-    /// The store, once a try has succeeded.
+    /// Returns the store once an attempt has succeeded, and starts the next attempt when it is due.
     fn poll(&mut self, now: Instant, installation: &str) -> Option<(Store, RecoveredState)> {
         let Some(attempt) = &self.attempt else {
             if now >= self.retry_at && self.begin_attempt(installation).is_err() {
@@ -77,34 +77,35 @@
             Ok(Ok(rewritten)) => return Some(rewritten),
             Err(TryRecvError::Empty) => return None,
             Ok(Err(error)) => Some(error),
-            // It ended in a panic.
+            // The thread panicked.
             Err(TryRecvError::Disconnected) => None,
         };
         let reason = error.map_or_else(|| "a panic".to_owned(), |error| error.to_string());
-        tracing::warn!(reason, path = %self.path.display(), "fleet: the store is not well yet");
+        tracing::warn!(reason, path = %self.path.display(), "fleet: the store could not be rewritten");
         self.attempt = None;
         self.retry_at = now + self.backoff.pause();
         None
     }
 }
 
-/// The store, or why there is none for now.
+/// The store of this front: absent, open, or failed and to be rewritten.
 pub struct NodeStore {
     state: State,
     installation: String,
 }
 
 impl NodeStore {
+    /// Wraps a store that has just been opened; `None` if this front has no store.
     pub fn new(store: Option<Store>, installation: String) -> NodeStore {
         NodeStore { state: store.map_or(State::Absent, State::Open), installation }
     }
 
-    /// Whether this front is to have a store.
+    /// Whether this front is configured to have a store.
     pub fn is_configured(&self) -> bool {
         !matches!(self.state, State::Absent)
     }
 
-    /// Writes, and closes the store if that fails.
+    /// Writes to the store, and closes it if that fails.
     ///
     /// # Errors
     /// Why nothing was stored.
@@ -119,7 +120,7 @@
             State::Open(store) => store,
         };
         match write(store) {
-            Ok(done) => Ok(done),
+            Ok(written) => Ok(written),
             Err(error) => {
                 self.state = State::Failed(FailedStore::new(store.path().to_owned(), now));
                 Err(error.into())
@@ -127,7 +128,7 @@
         }
     }
 
-    /// Opens a failed store again, if it is time to try and the disk is well: what a node starts from.
+    /// Drives the attempts to rewrite a failed store. Returns the state for a new node when one has succeeded.
     pub fn recover(&mut self, now: Instant) -> Option<RecoveredState> {
         let State::Failed(failed) = &mut self.state else { return None };
         let (store, recovered) = failed.poll(now, &self.installation)?;
--- a/front/src/fleet/operator.rs
+++ b/front/src/fleet/operator.rs
@@ -1,4 +1,5 @@
-//! Operators' requests: what their socket hands to the fleet's thread, and what waits there for an answer.
+//! Operators' requests: the calls that the operators' socket passes to the fleet's thread, and the replies that wait
+//! there.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -20,110 +21,111 @@
 use crate::fleet::status_view::FleetStatusView;
 use crate::fleet_link::Waker;
 
-/// Most commands whose outcome is waited for.
+/// Maximum number of commands whose outcome is waited for.
 const MAX_WAITING_REPLIES: usize = 64;
-/// For so long the leader is asked for details after an operator has looked, and an operator's command waits for its outcome.
+/// How long the leader is asked for details after an operator's request for the status, and how long an operator's
+/// command waits for its outcome.
 const OPERATOR_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What the program asks of the fleet's thread.
-pub enum Order {
-    /// Leave the fleet; then answer.
+/// A command of the rest of the process to the fleet's thread.
+pub enum RunnerCommand {
+    /// Leave the fleet, then reply.
     Leave(Sender<()>),
-    /// Have an unlisted front removed.
+    /// Remove a front that is not in the list.
     RemoveFront(FrontId),
-    /// An operator's request; the JSON reply goes back.
+    /// An operator's request; replies with JSON.
     Request(Box<OperatorRequest>, Sender<String>),
-    /// Show machines in maintenance, once the leader has told details; JSON goes back.
+    /// Show machines in maintenance; replies with JSON once the leader has sent details.
     ShowMaintenance(Sender<String>),
 }
 
-/// Why a call of an operator was not handed on.
+/// Why an operator's call failed.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// Only a front that is out of the list can be removed.
+    /// Only a front that is not in the list can be removed.
     #[error("{0} is in this front's file: take it out of the list first")]
     FrontConfigured(String),
-    /// The file has no maintenance, or no sites.
+    /// The file does not configure maintenance, or no sites with fronts.
     #[error("this front's file has no [work], or no [sites] with fronts of theirs")]
     NotConfigured,
-    /// The request can't be read.
+    /// The request can't be parsed.
     #[error("{0}")]
     Unreadable(#[from] serde_json::Error),
-    /// The fleet's thread is busy or has ended.
+    /// The fleet's thread is busy or has stopped.
     #[error("{0}")]
     Busy(&'static str),
-    /// Nothing was agreed on in time.
+    /// The outcome was not known before the timeout.
     #[error("nothing was agreed on within 5 s: it may be yet, look with `elmtide work`")]
     Timeout,
 }
 
-/// The operators' socket's side.
+/// The calls that the operators' socket makes.
 pub struct OperatorCalls {
-    /// To the fleet's thread.
-    pub orders: Sender<Order>,
-    /// Wakes it.
+    /// The queue of the fleet's thread.
+    pub commands: Sender<RunnerCommand>,
+    /// Wakes the fleet's thread.
     pub waker: Waker,
-    /// What is shown of the fleet now.
+    /// The current status of the fleet.
     pub status: Arc<ArcSwapOption<FleetStatusView>>,
     /// The fronts of this front's file.
     pub configured_fronts: Vec<String>,
-    /// Whether machines can go into maintenance.
+    /// Whether maintenance is configured.
     pub has_maintenance: bool,
-    /// Whether sites are watched.
+    /// Whether site failover is configured.
     pub has_sites: bool,
 }
 
 impl OperatorCalls {
-    /// What is shown of the fleet now, as JSON.
+    /// The current status of the fleet as JSON; empty before there is one.
     pub fn status(&self) -> String {
         let status = self.status.load();
         status.as_ref().and_then(|status| serde_json::to_string(&**status).ok()).unwrap_or_default()
     }
 
-    /// Has an unlisted front removed.
+    /// Requests the removal of a front that is not in the list.
     ///
     /// # Errors
-    /// If the front is listed, or the thread is busy.
+    /// If the front is in this front's file, or the thread is busy.
     pub fn remove_front(&self, name: &str) -> Result<(), CallError> {
         if self.configured_fronts.iter().any(|configured| configured == name) {
             return Err(CallError::FrontConfigured(name.to_owned()));
         }
-        self.send(Order::RemoveFront(FrontId::from_name(name)))
+        self.send(RunnerCommand::RemoveFront(FrontId::from_name(name)))
     }
 
-    /// What is shown of machines in maintenance, as JSON.
+    /// The status of maintenance as JSON.
     ///
     /// # Errors
-    /// If there is no maintenance, or no answer in time.
+    /// If maintenance is not configured, or there is no reply before the timeout.
     pub fn maintenance(&self) -> Result<String, CallError> {
         if !self.has_maintenance {
             return Err(CallError::NotConfigured);
         }
-        self.call(Order::ShowMaintenance)
+        self.call(RunnerCommand::ShowMaintenance)
     }
 
-    /// Requests a command given as JSON; gives the reply as JSON.
+    /// Submits a request given as JSON and returns the reply as JSON.
     ///
     /// # Errors
-    /// If the request can't be read or is not configured for, or there is no answer in time.
+    /// If the request can't be parsed, what it concerns is not configured, or there is no reply before the timeout.
     pub fn request(&self, json: &str) -> Result<String, CallError> {
         let concerns_site = json.contains("\"site-");
         if !(if concerns_site { self.has_sites } else { self.has_maintenance }) {
             return Err(CallError::NotConfigured);
         }
         let request: Box<OperatorRequest> = serde_json::from_str(json)?;
-        self.call(|reply| Order::Request(request, reply))
+        self.call(|reply| RunnerCommand::Request(request, reply))
     }
 
-    fn call(&self, order: impl FnOnce(Sender<String>) -> Order) -> Result<String, CallError> {
+    fn call(&self, command: impl FnOnce(Sender<String>) -> RunnerCommand) -> Result<String, CallError> {
         let (reply, outcome) = bounded(1);
-        self.send(order(reply))?;
+        self.send(command(reply))?;
         self.waker.wake();
         outcome.recv_timeout(OPERATOR_TIMEOUT).map_err(|_| CallError::Timeout)
     }
 
-    fn send(&self, order: Order) -> Result<(), CallError> {
-        self.orders.try_send(order).map_err(|error| {
+    fn send(&self, command: RunnerCommand) -> Result<(), CallError> {
+        self.commands.try_send(command).map_err(|error| {
             CallError::Busy(match error {
                 crossbeam_channel::TrySendError::Full(_) => "sending on a full channel",
                 crossbeam_channel::TrySendError::Disconnected(_) => "sending on a disconnected channel",
@@ -132,34 +134,35 @@
     }
 }
 
-/// Details of the leader, with the moment at which they came.
+/// The leader's details and when they arrived.
 struct ReceivedDetails {
     at: Instant,
     details: MaintenanceDetails,
 }
 
-/// The fleet's thread's side: who waits for what.
+/// The fleet's thread's part of operators' calls: the replies that wait, and what they are made of.
 pub struct OperatorDesk {
-    is_maintenance_on: bool,
+    has_maintenance_enabled: bool,
     names: DisplayNames,
     hooks: Hooks,
-    /// Until when details are asked for.
+    /// The time until which the leader is asked for details.
     details_needed_until: Option<Instant>,
-    /// Who waits for details.
+    /// Replies that wait for details.
     waiting_for_details: Vec<Sender<String>>,
     details: Option<ReceivedDetails>,
-    /// Who waits for the outcome of a command, by its tag.
+    /// Replies that wait for the outcome of a command, by the command's tag.
     waiting_for_outcome: BTreeMap<u64, Sender<String>>,
     next_tag: u64,
-    /// What the engine has reported last.
+    /// The engine's last report.
     engine_report: MaintenanceReport,
 }
 
 impl OperatorDesk {
+    /// Without any waiting reply or details.
     pub fn new(config: &FleetConfig) -> OperatorDesk {
         let hooks = config.work.as_ref().map(|work| Hooks::new(work.hooks.clone(), work.hook_seconds));
         OperatorDesk {
-            is_maintenance_on: config.work.is_some(),
+            has_maintenance_enabled: config.work.is_some(),
             names: DisplayNames::from_config(config),
             hooks: hooks.unwrap_or_else(|| Hooks::new(BTreeMap::new(), 1.0)),
             details_needed_until: None,
@@ -171,57 +174,60 @@
         }
     }
 
-    /// DisplayNames of machines and fronts.
+    /// The names of machines and fronts.
     pub fn names(&self) -> &DisplayNames {
         &self.names
     }
 
-    /// Runs the hook of a step.
+    /// Runs the hook of a step, if there is one.
     pub fn run_hook(&self, step: &str, machine: &str) {
         self.hooks.run(step, machine);
     }
 
-    /// Takes what the engine reports on machines.
+    /// Stores the engine's report on machines.
     pub fn on_engine_report(&mut self, report: &MaintenanceReport) {
         self.engine_report = report.clone();
     }
 
-    /// What is reported to the leader now; `None` where maintenance is off.
+    /// The report to the leader; `None` if maintenance is not configured.
     pub fn report(&self) -> Option<MaintenanceReport> {
         let needs_details = self.details_needed_until.is_some_and(|until| Instant::now() < until);
-        self.is_maintenance_on.then(|| MaintenanceReport { needs_details, ..self.engine_report.clone() })
+        self.has_maintenance_enabled
+            .then(|| MaintenanceReport { needs_details, ..self.engine_report.clone() })
     }
 
-    /// An operator looks: an answer comes with the leader's details, or at once from a front without contact.
-    pub fn on_show(&mut self, node: &FleetNode, reply: Sender<String>) {
+    /// An operator asks for the status of maintenance. The reply waits for the leader's details; a front without
+    /// contact replies at once.
+    pub fn on_maintenance_request(&mut self, node: &FleetNode, reply: Sender<String>) {
         self.details_needed_until = Some(Instant::now() + OPERATOR_TIMEOUT);
         if node.has_contact() {
             self.waiting_for_details.push(reply);
         } else {
-            let _ = reply.try_send(self.shown(node));
+            let _ = reply.try_send(self.maintenance_json(node));
         }
     }
 
-    /// The leader has told details.
+    /// Details of the leader have arrived: sends the waiting replies.
     pub fn on_details(&mut self, node: &FleetNode, details: MaintenanceDetails) {
         self.details = Some(ReceivedDetails { at: Instant::now(), details });
-        let shown = self.shown(node);
+        let json = self.maintenance_json(node);
         for reply in self.waiting_for_details.drain(..) {
-            let _ = reply.try_send(shown.clone());
+            let _ = reply.try_send(json.clone());
         }
     }
 
-    fn shown(&self, node: &FleetNode) -> String {
+    /// The status of maintenance as JSON.
+    fn maintenance_json(&self, node: &FleetNode) -> String {
         let leader = node.known_leader().map(|front| self.front_name(front));
         let contact = node.has_contact();
-        let shown = match &self.details {
+        let status = match &self.details {
             None => MaintenanceStatusView { contact, leader, ..MaintenanceStatusView::default() },
             Some(ReceivedDetails { at, details }) => {
                 let age_ms = at.elapsed().as_secs_f64() * 1000.0;
                 MaintenanceStatusView::new(details, &self.names, contact, leader, age_ms)
             }
         };
-        serde_json::to_string(&shown).unwrap_or_default()
+        serde_json::to_string(&status).unwrap_or_default()
     }
 
     /// The name of a front, or its id.
@@ -229,7 +235,7 @@
         self.names.fronts.get(&front).cloned().unwrap_or_else(|| format!("{:016x}", front.0))
     }
 
-    /// An operator's command: a front without contact refuses it, and says who would have it.
+    /// Submits an operator's request. A front without contact refuses it and names the last known leader.
     pub fn on_request(
         &mut self,
         node: &mut FleetNode,
@@ -270,7 +276,7 @@
         Ok(tag)
     }
 
-    /// The outcome of a command is known.
+    /// The outcome of a command is known: sends its reply.
     pub fn on_outcome(&mut self, tag: u64, outcome: CommandOutcome) {
         if let Some(reply) = self.waiting_for_outcome.remove(&tag) {
             send_reply(&reply, &self.names.reply(outcome));
--- a/front/src/fleet/operator_client.rs
+++ b/front/src/fleet/operator_client.rs
@@ -1,4 +1,4 @@
-//! The operator's end of the socket: one line to the front that runs on this machine, and its answer.
+//! The client of the operators' socket: sends one line to the front on this machine and reads its answer.
 
 use std::io::{Read, Write};
 use std::os::unix::net::UnixStream;
@@ -8,35 +8,35 @@
 use crate::fleet::operator_request::{OperatorReply, OperatorRequest};
 use crate::fleet::status_view::FleetStatusView;
 
-/// How long each end waits for the other.
+/// Timeout of each side of a call for reading and writing.
 pub const CALL_TIMEOUT: Duration = Duration::from_secs(7);
-/// The longest answer that is read.
+/// Maximum length of an answer.
 const MAX_ANSWER_BYTES: u64 = 16 << 20;
 
-/// Why the front gave no usable answer.
+/// Why a call got no usable answer.
 #[derive(Debug, thiserror::Error)]
 pub enum ClientError {
     /// The socket can't be used.
     #[error("{}: {error}", path.display())]
     Io {
-        /// Where the socket is.
+        /// Path of the socket.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         #[source]
         error: std::io::Error,
     },
-    /// The status is empty or can't be read.
+    /// The status is empty or can't be parsed.
     #[error("the front has nothing to show yet, or it can't be read: {0}")]
     NoStatus(#[source] serde_json::Error),
-    /// The front has answered with a text of its own.
+    /// The front has refused the request with this text.
     #[error("{0}")]
     Refused(String),
-    /// The request can't be written.
+    /// The request can't be encoded.
     #[error(transparent)]
     Unwritable(#[from] serde_json::Error),
 }
 
-/// Sends one line to the front that runs here, and reads its answer.
+/// Sends one line to the front on this machine, and reads its answer.
 ///
 /// # Errors
 /// If the socket can't be used, or the answer takes longer than [`CALL_TIMEOUT`].
@@ -50,19 +50,20 @@
     Ok(text)
 }
 
-/// The status of the front that runs here.
+/// The status of the front on this machine.
 ///
 /// # Errors
-/// If there is no front, or it has nothing to show yet.
+/// If no front is running, or it has no status yet.
 pub fn status(path: &Path) -> Result<FleetStatusView, ClientError> {
     let text = call(path, "show")?;
     serde_json::from_str(&text).map_err(ClientError::NoStatus)
 }
 
-/// Asks for an unlisted front to be removed: it is off for good, and its guaranteed minimum is free.
+/// Requests the removal of a front that is not in the list. Its machine must be off for good, since its guaranteed
+/// minimum becomes available to others.
 ///
 /// # Errors
-/// If the front that runs here refuses it.
+/// If the front on this machine refuses it.
 pub fn remove_front(path: &Path, name: &str) -> Result<(), ClientError> {
     let answer = call(path, &format!("forget {name}"))?;
     if answer == "asked" {
@@ -71,16 +72,18 @@
     Err(ClientError::Refused(answer))
 }
 
-/// An answer to a request: as it came, and as it reads.
+/// The answer to a request.
 pub struct RequestAnswer {
+    /// As it was received.
     pub json: String,
+    /// Parsed.
     pub reply: OperatorReply,
 }
 
 /// Sends a request and waits for its outcome.
 ///
 /// # Errors
-/// If the front does not answer, or with something else than a reply.
+/// If the front does not answer, or answers with something other than a reply.
 pub fn request(path: &Path, request: &OperatorRequest) -> Result<RequestAnswer, ClientError> {
     let line = serde_json::to_string(request)?;
     let json = call(path, &format!("work {line}"))?;
--- a/front/src/fleet/runner.rs
+++ b/front/src/fleet/runner.rs
@@ -1,4 +1,5 @@
-//! The fleet's thread: it turns datagrams, the store and the clock into calls of [`FleetNode`], and does what the node wants done.
+//! The fleet's thread: it passes datagrams, results of the store and the time to [`FleetNode`], and carries out the
+//! node's outputs.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -19,7 +20,7 @@
 use crate::fleet::datagram_socket::FleetSocket;
 use crate::fleet::events::log_event;
 use crate::fleet::node_store::{NodeStore, NotStored};
-use crate::fleet::operator::{OperatorDesk, Order};
+use crate::fleet::operator::{OperatorDesk, RunnerCommand};
 use crate::fleet::site_watch::SiteWatch;
 use crate::fleet::status_view::FleetStatusView;
 use crate::fleet_link::{EngineReport, FleetUpdate};
@@ -27,20 +28,25 @@
 
 const MIN_WAIT: Duration = Duration::from_micros(200);
 const MAX_WAIT: Duration = Duration::from_millis(50);
-/// How often the shown status is made anew.
+/// How often the status for operators is updated.
 const STATUS_INTERVAL: Duration = Duration::from_millis(200);
 
 /// What every node of this process is started with.
 pub struct NodeTemplate {
+    /// This front.
     pub own: FrontId,
+    /// The installation, which is part of every MAC.
     pub installation: String,
+    /// The key of the MACs.
     pub key: Vec<u8>,
+    /// What all fronts agree on.
     pub settings: FleetSettings,
+    /// The seed of the node's random numbers.
     pub seed: u64,
 }
 
 impl NodeTemplate {
-    /// A node that goes on from what a store has.
+    /// Starts a node from the state that was recovered from a store.
     pub fn start(&self, recovered: RecoveredState) -> Result<FleetNode, NodeError> {
         let config = NodeConfig {
             own: self.own,
@@ -54,19 +60,19 @@
     }
 }
 
-/// How the thread is connected to the rest of the program.
+/// The channels between the thread and the rest of the process.
 pub struct RunnerChannels {
     /// To the engine.
     pub inputs: Sender<Input>,
     /// From the engine.
     pub reports: Receiver<EngineReport>,
-    /// From the program.
-    pub orders: Receiver<Order>,
-    /// What operators are shown.
+    /// From the rest of the process.
+    pub commands: Receiver<RunnerCommand>,
+    /// The status for operators.
     pub status: Arc<ArcSwapOption<FleetStatusView>>,
 }
 
-/// Why a store can't be emptied and used again.
+/// Why a node cannot be restarted with an empty store.
 #[derive(Debug, thiserror::Error)]
 enum RestartError {
     #[error(transparent)]
@@ -80,23 +86,24 @@
     socket: FleetSocket,
     node: FleetNode,
     store: NodeStore,
-    /// For a node that has to start anew.
+    /// For restarts of the node.
     template: NodeTemplate,
     addresses: BTreeMap<FrontId, SocketAddr>,
     channels: RunnerChannels,
-    /// Who waits until this front has left.
-    leaving: Option<Sender<()>>,
-    status_made_at: Instant,
+    /// Notified once this front has left; `None` unless it is leaving.
+    departure_reply: Option<Sender<()>>,
+    status_updated_at: Instant,
     /// The engine's last report.
     report: EngineReport,
-    /// The incarnation of this front that others have seen, where that is later than its own.
+    /// The incarnation of this front that other fronts have seen, if it is later than its own.
     seen_incarnation: u64,
     desk: OperatorDesk,
     sites: Option<SiteWatch>,
 }
 
 impl Runner {
-    #[allow(clippy::too_many_arguments, reason = "one of each that the thread owns from its start")]
+    /// Combines the parts that the thread owns.
+    #[allow(clippy::too_many_arguments, reason = "each is a part that the thread owns")]
     pub fn new(
         config: &FleetConfig,
         socket: FleetSocket,
@@ -115,8 +122,8 @@
             template,
             addresses: fronts.map(|f| (FrontId::from_name(&f.name), f.address)).collect(),
             channels,
-            leaving: None,
-            status_made_at: Instant::now(),
+            departure_reply: None,
+            status_updated_at: Instant::now(),
             report: EngineReport::default(),
             seen_incarnation: 0,
             desk,
@@ -124,10 +131,12 @@
         }
     }
 
-    /// Runs for ever; a panic ends this thread alone.
+    /// Runs until a panic, which ends only this thread and not the process.
     pub fn run_until_panic(mut self) {
         if catch_unwind(AssertUnwindSafe(|| self.run())).is_err() {
-            tracing::error!("fleet: ended after a panic; shares run out, this front goes on with its floors");
+            tracing::error!(
+                "fleet: the thread panicked; leases expire, this front goes on with its guaranteed minimums"
+            );
         }
     }
 
@@ -135,16 +144,16 @@
         tracing::info!(
             front = %self.desk.front_name(self.template.own),
             incarnation = self.node.holder().incarnation.0,
-            "fleet: begins"
+            "fleet: started"
         );
         self.process_outputs();
         loop {
             self.wait();
             self.receive_datagrams();
-            self.take_engine_reports();
+            self.process_engine_reports();
             self.report_to_node();
             self.recover_store();
-            self.take_orders();
+            self.process_commands();
             self.node.advance_time(clock::both());
             self.process_outputs();
             self.confirm_departure();
@@ -161,12 +170,12 @@
     fn receive_datagrams(&mut self) {
         for datagram in self.socket.receive() {
             self.node.on_datagram(&datagram, clock::both());
-            // What has to be synced goes first: the next datagram may depend on it.
+            // Syncs come first: the handling of the next datagram may depend on them.
             self.process_outputs();
         }
     }
 
-    fn take_engine_reports(&mut self) {
+    fn process_engine_reports(&mut self) {
         while let Ok(report) = self.channels.reports.try_recv() {
             if let Some(epoch) = report.quota_epoch {
                 self.node.on_applied(epoch, report.minimums_epoch, clock::both());
@@ -190,20 +199,20 @@
         }
     }
 
-    fn take_orders(&mut self) {
-        while let Ok(order) = self.channels.orders.try_recv() {
+    fn process_commands(&mut self) {
+        while let Ok(command) = self.channels.commands.try_recv() {
             let now = clock::both();
-            match order {
-                Order::Leave(confirm) => {
-                    self.leaving = Some(confirm);
+            match command {
+                RunnerCommand::Leave(reply) => {
+                    self.departure_reply = Some(reply);
                     self.node.transfer_leadership(now);
                     self.node.leave(now);
                 }
-                Order::RemoveFront(front) => {
+                RunnerCommand::RemoveFront(front) => {
                     self.node.submit(AgreedCommand::Budgets(BudgetCommand::RemoveFront { front }), now);
                 }
-                Order::ShowMaintenance(reply) => self.desk.on_show(&self.node, reply),
-                Order::Request(request, reply) => {
+                RunnerCommand::ShowMaintenance(reply) => self.desk.on_maintenance_request(&self.node, reply),
+                RunnerCommand::Request(request, reply) => {
                     let sites = self.sites.as_ref().map(|sites| sites.failover().sites());
                     self.desk.on_request(&mut self.node, sites, *request, reply, now);
                 }
@@ -211,7 +220,7 @@
         }
     }
 
-    /// Does what the node wants done, in order.
+    /// Carries out the node's outputs in order.
     fn process_outputs(&mut self) {
         while let Some(output) = self.node.poll_output() {
             match output {
@@ -220,16 +229,16 @@
                 Output::SyncVoterId(id) => self.sync(|store| store.write_voter_id(id)),
                 Output::CompactLog(update) => {
                     if let Err(why) = self.store.write(Instant::now(), |store| store.write_log(&update)) {
-                        tracing::warn!(%why, "fleet: the log was not cut");
+                        tracing::warn!(%why, "fleet: the log cannot be compacted");
                     }
                 }
                 Output::ApplyMinimums(minimums) => self.store_minimums(minimums),
-                Output::ApplyGrant(grant) => self.tell_engine(FleetUpdate::Grant(grant)),
+                Output::ApplyGrant(grant) => self.send_to_engine(FleetUpdate::Grant(grant)),
                 Output::ApplyMaintenanceView(mut leased) => {
                     if let Some(details) = leased.view.details.take() {
                         self.desk.on_details(&self.node, *details);
                     }
-                    self.tell_engine(FleetUpdate::Maintenance(leased));
+                    self.send_to_engine(FleetUpdate::Maintenance(leased));
                 }
                 Output::ApplySiteView(leased) => {
                     if let Some(sites) = &self.sites {
@@ -249,16 +258,17 @@
         }
     }
 
-    /// What is not stored is not used, and not said to be: other fronts wait for a smaller minimum to be in use.
+    /// Minimums that are not stored are neither used nor reported as applied, because other fronts wait until a smaller
+    /// minimum is in use.
     fn store_minimums(&mut self, minimums: GuaranteedMinimums) {
         match self.store.write(Instant::now(), |store| store.write_minimums(&minimums)) {
-            Ok(()) | Err(NotStored::NoStore) => self.tell_engine(FleetUpdate::Minimums(minimums)),
-            Err(why) => tracing::error!(%why, "fleet: floors can't be kept"),
+            Ok(()) | Err(NotStored::NoStore) => self.send_to_engine(FleetUpdate::Minimums(minimums)),
+            Err(why) => tracing::error!(%why, "fleet: the guaranteed minimums cannot be stored"),
         }
     }
 
-    fn tell_engine(&self, update: FleetUpdate) {
-        // The engine may be behind: a grant that finds no room is requested again.
+    fn send_to_engine(&self, update: FleetUpdate) {
+        // The engine's queue may be full: a grant that is dropped here is requested again.
         let _ = self.channels.inputs.try_send(Input::Fleet(update));
     }
 
@@ -267,45 +277,48 @@
             Ok(()) => SyncResult::Synced,
             Err(NotStored::NoStore) => SyncResult::Failed,
             Err(why) => {
-                tracing::error!(%why, "fleet: the store failed, this front votes no more until it is well");
+                tracing::error!(
+                    %why,
+                    "fleet: the store failed: this front does not vote until the store has been rewritten"
+                );
                 SyncResult::Failed
             }
         };
         self.node.on_synced(result, clock::both());
     }
 
-    /// A store that has failed is well again: a new node starts from it, as after a restart of the process. A front that is
-    /// leaving needs none.
+    /// Once a failed store has been rewritten, starts a new node from it, as after a restart of the process. A front
+    /// that is leaving does not need one.
     fn recover_store(&mut self) {
-        if self.leaving.is_some() {
+        if self.departure_reply.is_some() {
             return;
         }
         let Some(recovered) = self.store.recover(Instant::now()) else { return };
         let incarnation = recovered.incarnation;
         match self.template.start(recovered) {
             Ok(node) => {
-                tracing::info!(incarnation, "fleet: the store is well again, this front votes again");
+                tracing::info!(incarnation, "fleet: the store has been rewritten, this front votes again");
                 self.replace_node(node);
             }
-            Err(why) => tracing::error!(%why, "fleet: can't begin anew"),
+            Err(why) => tracing::error!(%why, "fleet: the node cannot be restarted"),
         }
     }
 
     fn replace_node(&mut self, node: FleetNode) {
         self.node = node;
-        // Not to be lost: what the engine holds is the earlier node's.
+        // The reset must not be lost: the engine still holds what the previous node was granted.
         let _ = self.channels.inputs.send(Input::Fleet(FleetUpdate::Reset));
         self.process_outputs();
     }
 
-    /// The store is not the latest of this front: it is emptied, and a new node starts.
+    /// The store is not the latest one of this front: resets it and starts a new node.
     fn restart_with_empty_store(&mut self) {
         if !self.store.is_configured() {
             return;
         }
         match self.restart() {
             Ok(node) => self.replace_node(node),
-            Err(why) => tracing::error!(%why, "fleet: can't begin anew"),
+            Err(why) => tracing::error!(%why, "fleet: the node cannot be restarted"),
         }
     }
 
@@ -324,22 +337,22 @@
 
     fn confirm_departure(&mut self) {
         if self.node.has_left() {
-            if let Some(confirm) = self.leaving.take() {
-                let _ = confirm.try_send(());
+            if let Some(reply) = self.departure_reply.take() {
+                let _ = reply.try_send(());
             }
         }
     }
 
     fn update_status(&mut self) {
-        if self.status_made_at.elapsed() < STATUS_INTERVAL {
+        if self.status_updated_at.elapsed() < STATUS_INTERVAL {
             return;
         }
-        self.status_made_at = Instant::now();
+        self.status_updated_at = Instant::now();
         let now = clock::both();
         let names = &self.desk.names().fronts;
         let status = self.node.status(now);
-        let shown = FleetStatusView::new(status, &self.report, names, self.socket.crowded(), now);
-        let sites = self.sites.as_ref().map_or_else(Vec::new, |sites| sites.failover().shown());
-        self.channels.status.store(Some(Arc::new(FleetStatusView { sites, ..shown })));
+        let view = FleetStatusView::new(status, &self.report, names, self.socket.over_limit(), now);
+        let sites = self.sites.as_ref().map_or_else(Vec::new, |sites| sites.failover().status());
+        self.channels.status.store(Some(Arc::new(FleetStatusView { sites, ..view })));
     }
 }
--- a/front/src/fleet/site_command.rs
+++ b/front/src/fleet/site_command.rs
@@ -1,4 +1,4 @@
-//! The command `elmtide site`: asks the front that runs here for its sites, and shows failover plans by the file.
+//! The command `elmtide site`: sends a request to the front on this machine, or prints failover plans by the file.
 
 use std::path::Path;
 use std::process::ExitCode;
@@ -11,18 +11,18 @@
 use crate::fleet::site_directory::{SiteDirectory, SiteEntry, SitesEntry};
 use crate::fleet::status_view;
 
-/// `elmtide site`, `site lost SITE`, `site clear SITE`: asks the front that runs here.
-pub fn ask(path: &Path, words: &[String], json: bool) -> Result<ExitCode, String> {
+/// Runs `elmtide site`, `site lost SITE` and `site clear SITE`, which the front on this machine answers.
+pub fn run_request(path: &Path, words: &[String], json: bool) -> Result<ExitCode, String> {
     let words: Vec<&str> = words.iter().map(|w| &w[..]).collect();
     let request = match words[..] {
         [] => {
-            let shown = operator_client::status(path).map_err(|error| error.to_string())?;
+            let status = operator_client::status(path).map_err(|error| error.to_string())?;
             if json {
-                println!("{}", serde_json::to_string(&shown.sites).map_err(|e| e.to_string())?);
-            } else if shown.sites.is_empty() {
+                println!("{}", serde_json::to_string(&status.sites).map_err(|e| e.to_string())?);
+            } else if status.sites.is_empty() {
                 println!("no sites are watched, or nothing was heard of them yet");
             } else {
-                status_view::print_sites(&shown);
+                status_view::print_sites(&status);
             }
             return Ok(ExitCode::SUCCESS);
         }
@@ -38,8 +38,9 @@
     Ok(if reply.done { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-/// `elmtide site plan [SITE...] [SITE.CLASS=RATE...]`: false where signups, or what else must be served, can't be.
-pub fn run(sites: Option<(&SitesEntry, &[SiteEntry])>, words: &[String]) -> Result<bool, String> {
+/// Runs `elmtide site plan [SITE...] [SITE.CLASS=RATE...]`; false if requests that must be served, such as signups,
+/// can't be.
+pub fn run_plan(sites: Option<(&SitesEntry, &[SiteEntry])>, words: &[String]) -> Result<bool, String> {
     let (table, entries) = sites.ok_or("the file has no [sites]")?;
     let mut sites = SiteDirectory::from_config(table, entries).map_err(|error| error.to_string())?;
     match words.split_first() {
@@ -51,12 +52,12 @@
                 false => vec![sites.loss_of(&names)?],
                 true => sites.losses(),
             };
-            let mut whole = true;
+            let mut all_served = true;
             for loss in losses {
                 match plan(&sites.layout, &loss, None) {
                     Ok(plan) => sites.print_plan(&loss, &plan)?,
                     Err(PlanError::MustServe { class, missing_rate: short, plan }) => {
-                        whole = false;
+                        all_served = false;
                         sites.print_plan(&loss, &plan)?;
                         let class = &sites.layout.classes[class].name;
                         println!("  NO PLAN: {short:.2} a second of {class} must be served and can't be");
@@ -64,25 +65,26 @@
                     Err(why) => return Err(format!("{}: {why}", sites.loss_title(&loss))),
                 }
             }
-            Ok(whole)
+            Ok(all_served)
         }
         _ => Err("site plan [SITE...] [SITE.CLASS=RATE...] is all that there is yet".into()),
     }
 }
 
 impl SiteDirectory {
-    /// Another load in place of the file's: `SITE.CLASS=RATE`.
+    /// Replaces a load of the file by an argument `SITE.CLASS=RATE`.
     fn override_load(&mut self, text: &str) -> Result<(), String> {
-        let wrong = || format!("{text:?}: SITE.CLASS=RATE is wanted");
-        let (place, rate) = text.split_once('=').ok_or_else(wrong)?;
-        let (site, class) = place.rsplit_once('.').ok_or_else(wrong)?;
-        let rate: f64 = rate.parse().map_err(|_| wrong())?;
-        let class = self.layout.classes.iter().position(|c| c.name == class).ok_or_else(wrong)?;
-        let branch = self.layout.branches.iter_mut().find(|s| s.name == site).ok_or_else(wrong)?;
+        let invalid = || format!("{text:?}: SITE.CLASS=RATE is wanted");
+        let (target, rate) = text.split_once('=').ok_or_else(invalid)?;
+        let (site, class) = target.rsplit_once('.').ok_or_else(invalid)?;
+        let rate: f64 = rate.parse().map_err(|_| invalid())?;
+        let class = self.layout.classes.iter().position(|c| c.name == class).ok_or_else(invalid)?;
+        let branch = self.layout.branches.iter_mut().find(|s| s.name == site).ok_or_else(invalid)?;
         branch.load[class] = rate;
         self.layout.check().map_err(|why| why.to_string())
     }
 
+    /// The heading of a loss.
     fn loss_title(&self, loss: &Loss) -> String {
         let branches = loss.branches.iter().map(|b| &self.layout.branches[*b].name[..]);
         let names: Vec<&str> =
@@ -93,9 +95,10 @@
         }
     }
 
-    fn constraint_text(&self, bound: &BindingConstraint) -> String {
+    /// The name of a binding constraint.
+    fn constraint_text(&self, constraint: &BindingConstraint) -> String {
         let (branches, hubs) = (&self.layout.branches, &self.layout.hubs);
-        match bound {
+        match constraint {
             BindingConstraint::Branch(at) => format!("the room of {}", branches[*at].name),
             BindingConstraint::Hub(hub) => format!("the room of {}", hubs[*hub].name),
             BindingConstraint::Link(at, hub) => {
@@ -105,6 +108,7 @@
         }
     }
 
+    /// Prints a plan, its tightest constraint and the best place for one more cache node.
     fn print_plan(&self, loss: &Loss, plan: &FailoverPlan) -> Result<(), String> {
         let layout = &self.layout;
         println!(
@@ -114,13 +118,13 @@
             plan.value_asked,
             plan.value_asked - plan.value
         );
-        for m in &plan.moves {
+        for displaced in &plan.moves {
             println!(
                 "  {:>8.2} {:<12} of {} to {}",
-                m.rate,
-                layout.classes[m.class].name,
-                layout.branches[m.from].name,
-                layout.branches[m.to].name
+                displaced.rate,
+                layout.classes[displaced.class].name,
+                layout.branches[displaced.from].name,
+                layout.branches[displaced.to].name
             );
         }
         for rejected in &plan.rejected {
@@ -143,9 +147,9 @@
                 "  tightest: {}; a hundredth more of it is worth {more:.2} a second",
                 self.constraint_text(&bottleneck.constraint)
             );
-            let boxes = expansion_gains(layout, loss).map_err(|why| why.to_string())?;
+            let gains = expansion_gains(layout, loss).map_err(|why| why.to_string())?;
             let best =
-                boxes.into_iter().max_by(|a, b| a.gain.total_cmp(&b.gain)).filter(|best| best.gain > 1e-6);
+                gains.into_iter().max_by(|a, b| a.gain.total_cmp(&b.gain)).filter(|best| best.gain > 1e-6);
             if let Some(ExpansionGain { branch: at, gain }) = best {
                 println!("  one more box at {} is worth {gain:.2} a second", layout.branches[at].name);
             }
--- a/front/src/fleet/site_command/tests.rs
+++ b/front/src/fleet/site_command/tests.rs
@@ -1,4 +1,4 @@
-//! Failover plans by a file, and files that are refused.
+//! Failover plans by a file, and invalid files.
 
 use serde::Deserialize;
 
@@ -33,34 +33,38 @@
     room = 60.0
 "#;
 
-fn read(text: &str) -> Result<bool, String> {
+fn plan_pest_lost(text: &str) -> Result<bool, String> {
     let file: File = toml::from_str(text).map_err(|e| e.to_string())?;
-    run(Some((&file.sites, &file.site)), &["plan".into(), "pest".into()])
+    run_plan(Some((&file.sites, &file.site)), &["plan".into(), "pest".into()])
 }
 
 #[test]
-fn a_file_is_planned_and_a_bad_one_says_why() {
-    assert_eq!(read(FILE), Ok(true));
-    assert_eq!(read(&FILE.replace("signup = 5.0", "signup = 90.0")), Ok(false), "signups do not fit");
-    for (from, to, why) in [
+fn a_valid_file_is_planned_and_an_invalid_one_is_rejected_with_the_cause() {
+    assert_eq!(plan_pest_lost(FILE), Ok(true));
+    assert_eq!(
+        plan_pest_lost(&FILE.replace("signup = 5.0", "signup = 90.0")),
+        Ok(false),
+        "signups do not fit"
+    );
+    for (from, to, cause) in [
         ("\"pest\", \"buda\"]]", "\"pest\", \"far\"]]", "no site"),
         ("files = 60.0", "fools = 60.0", "no class"),
         ("east = 30.0", "west = 30.0", "no hub"),
-        ("name = \"buda\"", "name = \"pest\"", "one name"),
+        ("name = \"buda\"", "name = \"pest\"", "the same name"),
         ("room = 60.0", "room = -1.0", "a figure is none"),
     ] {
-        let said = read(&FILE.replacen(from, to, 1)).unwrap_err();
-        assert!(said.contains(why), "{said}");
+        let message = plan_pest_lost(&FILE.replacen(from, to, 1)).unwrap_err();
+        assert!(message.contains(cause), "{message}");
     }
 }
 
 #[test]
-fn another_load_is_taken_in_place_of_the_files() {
+fn a_load_argument_replaces_the_load_of_the_file() {
     let file: File = toml::from_str(FILE).unwrap();
     let mut sites = SiteDirectory::from_config(&file.sites, &file.site).unwrap();
     sites.override_load("pest.files=80").unwrap();
     assert_eq!(sites.layout.branches[0].load, [5.0, 80.0]);
-    for wrong in ["pest=3", "pest.files", "far.files=2", "pest.fools=2", "pest.files=x", "pest.files=-1"] {
-        assert!(sites.override_load(wrong).is_err(), "{wrong}");
+    for invalid in ["pest=3", "pest.files", "far.files=2", "pest.fools=2", "pest.files=x", "pest.files=-1"] {
+        assert!(sites.override_load(invalid).is_err(), "{invalid}");
     }
 }
--- a/front/src/fleet/site_directory.rs
+++ b/front/src/fleet/site_directory.rs
@@ -1,4 +1,4 @@
-//! The sites of the fleet's file: their tables, their numbers and names, and the layout that failover plans are made for.
+//! The sites of the fleet's file: their tables, numbers and names, and the layout for which failover plans are made.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,113 +10,136 @@
 
 use crate::fleet::config_error::SiteTableError;
 
+/// Settings of site failover.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SitesEntry {
-    /// Fills a second that the origin bears, and the part of the hubs' fills that go on to it.
+    /// Maximum fills per second of the origin.
     pub origin: f64,
-    #[serde(default = "whole")]
+    /// Fraction of a hub's fills that are passed on to the origin.
+    #[serde(default = "one")]
     pub to_origin: f64,
-    /// Part of a taker's own clients' requests that it may lose.
-    #[serde(default = "two")]
+    /// Fraction of its own clients' requests that a branch may reject in favor of displaced clients.
+    #[serde(default = "default_own_loss")]
     pub own_loss: f64,
-    /// Two sites that may be lost together.
+    /// Pairs of sites that may be lost together; plans for them are made in advance.
     #[serde(default)]
     pub pairs: Vec<(String, String)>,
+    /// The classes of requests.
     pub class: Vec<ClassEntry>,
-    /// A site of which nothing was heard for so long is silent to this front.
-    #[serde(default = "silence")]
+    /// Time without an answer after which a site counts as silent.
+    #[serde(default = "default_silence_ms")]
     pub silence_ms: f64,
-    /// Words have to be held for so long before a site is declared lost, twice as long after each return that failed, up to the ceiling.
-    #[serde(default = "patience")]
+    /// How long opinions must be held before a site is declared lost; doubled after each failed recovery, up to
+    /// `ceiling_ms`.
+    #[serde(default = "default_patience_ms")]
     pub patience_ms: f64,
-    #[serde(default = "ceiling")]
+    /// Upper limit of the patience.
+    #[serde(default = "default_ceiling_ms")]
     pub ceiling_ms: f64,
-    /// Each step of a return takes so long at the least.
-    #[serde(default = "pace")]
+    /// Minimum duration of each phase of a recovery.
+    #[serde(default = "default_pace_ms")]
     pub pace_ms: f64,
-    /// Those who are refused are told to wait so long at the most, and half of it at the least.
-    #[serde(default = "pace")]
+    /// Longest wait that a client is told whose request the plan rejects; the shortest is half of it.
+    #[serde(default = "default_pace_ms")]
     pub refused_ms: f64,
 }
 
-fn silence() -> f64 {
+fn default_silence_ms() -> f64 {
     800.0
 }
 
-fn patience() -> f64 {
+fn default_patience_ms() -> f64 {
     600.0
 }
 
-fn ceiling() -> f64 {
+fn default_ceiling_ms() -> f64 {
     60_000.0
 }
 
-fn pace() -> f64 {
+fn default_pace_ms() -> f64 {
     5_000.0
 }
 
-fn whole() -> f64 {
+fn one() -> f64 {
     1.0
 }
 
-fn two() -> f64 {
+fn default_own_loss() -> f64 {
     0.02
 }
 
+/// A class of requests.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClassEntry {
+    /// Name of the class.
     pub name: String,
+    /// Value of one served request.
     pub worth: f64,
-    #[serde(default = "whole")]
+    /// Work of one request, in units of a branch's capacity.
+    #[serde(default = "one")]
     pub work: f64,
-    /// Fills for one request.
+    /// Average number of fills caused by one request.
     #[serde(default)]
     pub misses: f64,
+    /// Whether all of its requests must be served.
     #[serde(default)]
     pub must: bool,
 }
 
+/// The kind of a site.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum SiteKind {
+    /// Serves clients.
     #[default]
     Branch,
+    /// Fills the caches of branches.
     Hub,
 }
 
+/// A site.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SiteEntry {
+    /// Name of the site.
     pub name: String,
+    /// Its kind.
     #[serde(default)]
     pub kind: SiteKind,
-    /// Work a second of a branch, fills a second of a hub; and what one box of it adds.
+    /// Maximum work per second of a branch, or maximum fills per second of a hub.
     pub room: f64,
+    /// Capacity that one more cache node would add.
     #[serde(default, rename = "box")]
     pub a_box: f64,
-    /// Requests a second by class.
+    /// Requests per second from a branch's own clients, by class.
     #[serde(default)]
     pub load: BTreeMap<String, f64>,
-    /// Fills a second over its link to each hub.
+    /// Maximum fills per second over a branch's link to each hub.
     #[serde(default)]
     pub links: BTreeMap<String, f64>,
-    /// Boxes or parents of the site that are asked whether they are there, by fronts of other sites.
+    /// Addresses of the site's cache nodes or parents, which fronts of other sites probe.
     #[serde(default)]
     pub boxes: Vec<SocketAddr>,
 }
 
-/// The layout that the tables make, with names.
+/// The layout made from the tables, with the names and numbers of the sites.
 #[derive(Debug)]
 pub struct SiteDirectory {
+    /// The input of failover plans.
     pub layout: Layout,
+    /// Pairs of sites that may be lost together.
     pairs: Vec<(String, String)>,
-    /// All sites in the file's order, by which they are numbered.
+    /// All sites in the file's order, which determines their numbers.
     pub names: Vec<(String, SiteKind)>,
 }
 
 impl SiteDirectory {
+    /// Checks the tables and makes the layout from them.
+    ///
+    /// # Errors
+    /// If the tables are inconsistent or a figure is out of range.
     pub fn from_config(sites: &SitesEntry, entries: &[SiteEntry]) -> Result<SiteDirectory, SiteTableError> {
         let of = |kind| entries.iter().filter(move |s| s.kind == kind);
         let hubs: Vec<&str> = of(SiteKind::Hub).map(|s| &s.name[..]).collect();
@@ -139,15 +162,15 @@
             return Err(SiteTableError::UnknownPairedSite(site.clone()));
         }
         let site = |s: &SiteEntry| {
-            let figures = |names: &[&str], of: &BTreeMap<String, f64>| {
+            let figures_in_order = |names: &[&str], of: &BTreeMap<String, f64>| {
                 names.iter().map(|n| of.get(*n).copied().unwrap_or(0.0)).collect()
             };
             SiteCapacity {
                 name: s.name.clone(),
                 capacity: s.room,
                 capacity_per_cache: s.a_box,
-                load: figures(&classes, &s.load),
-                link_capacity: figures(&hubs, &s.links),
+                load: figures_in_order(&classes, &s.load),
+                link_capacity: figures_in_order(&hubs, &s.links),
             }
         };
         let layout = Layout {
@@ -167,10 +190,10 @@
             max_own_loss: sites.own_loss,
         };
         layout.check().map_err(|why| SiteTableError::Layout(why.to_string()))?;
-        let within = |ms: f64| (10.0..=3_600_000.0).contains(&ms);
+        let is_valid_duration = |ms: f64| (10.0..=3_600_000.0).contains(&ms);
         if ![sites.silence_ms, sites.patience_ms, sites.ceiling_ms, sites.pace_ms, sites.refused_ms]
             .into_iter()
-            .all(within)
+            .all(is_valid_duration)
         {
             return Err(SiteTableError::Time);
         }
@@ -181,49 +204,57 @@
         Ok(SiteDirectory { layout, pairs: sites.pairs.clone(), names })
     }
 
+    /// The site with this name.
     pub fn site(&self, name: &str) -> Option<SiteId> {
-        self.names.iter().position(|(n, _)| n == name).map(|place| SiteId(place as u16))
+        self.names.iter().position(|(n, _)| n == name).map(|index| SiteId(index as u16))
     }
 
-    /// The site that is the so-manieth of its kind in the plan.
-    pub fn nth_of_kind(&self, kind: SiteKind, place: usize) -> Option<SiteId> {
+    /// The site with this index among those of its kind, as plans count them.
+    pub fn nth_of_kind(&self, kind: SiteKind, index: usize) -> Option<SiteId> {
         let of_kind = self.names.iter().enumerate().filter(|(_, (_, k))| *k == kind);
-        of_kind.map(|(at, _)| SiteId(at as u16)).nth(place)
+        of_kind.map(|(at, _)| SiteId(at as u16)).nth(index)
     }
 
-    /// A branch's place in the plan.
+    /// The index of a branch in plans; `None` for a hub.
     pub fn branch_index(&self, site: SiteId) -> Option<usize> {
         let (_, kind) = self.names.get(usize::from(site.0))?;
         let before = self.names[..usize::from(site.0)].iter().filter(|(_, k)| *k == SiteKind::Branch).count();
         (*kind == SiteKind::Branch).then_some(before)
     }
 
+    /// The name of a site; empty if the site does not exist.
     pub fn name(&self, site: SiteId) -> String {
         self.names.get(usize::from(site.0)).map_or_else(String::new, |(name, _)| name.clone())
     }
 
+    /// The index of the branch with this name in plans.
     pub fn branch_named(&self, name: &str) -> Option<usize> {
         self.layout.branches.iter().position(|b| b.name == name)
     }
 
-    /// Where there is no plan: clients of each lost branch go to all others alike, and nothing is refused by plan.
+    /// A substitute for a missing plan: clients of each lost branch are spread evenly over the others, and no request
+    /// is rejected.
     pub fn spread_evenly(&self, loss: &Loss) -> FailoverPlan {
         let branches = 0..self.layout.branches.len();
-        let takers: Vec<usize> = branches.filter(|b| !loss.branches.contains(b)).collect();
+        let remaining: Vec<usize> = branches.filter(|b| !loss.branches.contains(b)).collect();
         let moves = loss.branches.iter().flat_map(|from| {
             let classes = self.layout.branches[*from].load.iter().enumerate();
-            let each = classes.map(|(class, rate)| (class, rate / takers.len().max(1) as f64));
-            let to = |(class, rate): (usize, f64)| {
-                takers
+            let rate_to_each = classes.map(|(class, rate)| (class, rate / remaining.len().max(1) as f64));
+            let moves_to_all = |(class, rate): (usize, f64)| {
+                remaining
                     .iter()
                     .map(move |to| DisplacedLoad { from: *from, to: *to, class, rate })
                     .collect::<Vec<_>>()
             };
-            each.flat_map(to).collect::<Vec<_>>()
+            rate_to_each.flat_map(moves_to_all).collect::<Vec<_>>()
         });
         FailoverPlan { moves: moves.collect(), ..FailoverPlan::default() }
     }
 
+    /// The loss of the sites with these names.
+    ///
+    /// # Errors
+    /// If a site does not exist.
     pub fn loss_of(&self, names: &[&str]) -> Result<Loss, String> {
         let mut loss = Loss::default();
         for name in names {
@@ -237,7 +268,7 @@
         Ok(loss)
     }
 
-    /// What plans are made for before it happens: nothing, each site, and the pairs of the file.
+    /// The losses for which plans are made in advance: of nothing, of each site, and of the pairs of the file.
     pub fn losses(&self) -> Vec<Loss> {
         let pairs = self.pairs.iter().filter_map(|(a, b)| self.loss_of(&[a, b]).ok());
         [Loss::default()].into_iter().chain(self.layout.single_losses()).chain(pairs).collect()
--- a/front/src/fleet/site_failover.rs
+++ b/front/src/fleet/site_failover.rs
@@ -1,5 +1,5 @@
-//! Which sites are lost by the view that this front was told last, and what that means for a client and for a key: a value that the
-//! second front reads, replaced whole by the fleet's thread.
+//! The consequences of the last view of sites for clients and for keys: where a client is served and which front owns a
+//! key. The second front reads this state, which the fleet's thread replaces as a whole.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -20,13 +20,13 @@
 use crate::fleet::status_view::SiteStatusView;
 use crate::process::{clock, spawn};
 
-/// Most plans that are kept.
+/// Maximum number of plans that are kept.
 const MAX_PLANS: usize = 512;
-/// Most losses whose plans wait to be made.
-const MAX_WANTED_PLANS: usize = 16;
+/// Maximum number of losses that wait for their plans.
+const MAX_WAITING_LOSSES: usize = 16;
 const MICROS_PER_MS: f64 = 1000.0;
 
-/// What follows from a view.
+/// A view of sites and its consequences.
 #[derive(Clone, Debug, Default)]
 pub struct FailoverState {
     held: HeldSiteView,
@@ -35,71 +35,71 @@
 }
 
 impl FailoverState {
-    /// The newest view; `None` before there is one.
+    /// The latest view; `None` before there is one.
     pub fn view(&self) -> Option<&SiteView> {
         self.held.view()
     }
 
-    /// Where all clients go.
+    /// Where clients are served.
     pub fn routing(&self) -> &FailoverRouting {
         &self.routing
     }
 }
 
-/// What is to be done with a client's request.
+/// How a client's request is handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientDecision {
-    /// It is served here.
+    /// Serve it here.
     ServeHere,
-    /// Another branch serves it.
+    /// Redirect the client to another branch.
     Redirect,
-    /// The plan sheds it.
+    /// The plan rejects it.
     Reject {
-        /// The longest time to wait that the client is told, in milliseconds.
+        /// Longest wait that the client is told, in milliseconds.
         max_wait_ms: u64,
     },
 }
 
-/// A client as the plan tells it apart.
+/// The properties of a client that a plan depends on.
 #[derive(Clone, Copy, Debug)]
 pub struct Client<'a> {
     /// The branch that it belongs to.
     pub home: &'a str,
     /// The class of its request.
     pub class: &'a str,
-    /// A number of its net, by which it goes to a branch.
+    /// A number derived from its network, which determines its branch.
     pub routing_draw: f64,
-    /// Another number of its net, by which it is rejected.
+    /// Another number derived from its network, which determines whether it is rejected.
     pub rejection_draw: f64,
 }
 
-/// How this front takes part in the failover of sites.
+/// Settings of this front's part in site failover.
 pub struct FailoverConfig {
     /// The sites of the fleet's file.
     pub sites: SiteDirectory,
-    /// Each front with its site.
+    /// The fronts that belong to a site, each with its site.
     pub fronts: Vec<(String, SiteId)>,
     /// This front.
     pub own_name: String,
-    /// The times that leases go by.
+    /// Durations and clock tolerances of leases.
     pub lease: LeaseSettings,
-    /// How long a key may be asked again.
+    /// How long a client may retry a key.
     pub key_lifetime: Ms,
-    /// The longest wait that is told to those whom the plan sheds.
+    /// Longest wait that a client is told whose request the plan rejects.
     pub max_wait: Ms,
 }
 
-/// What is read by the second front; the fleet's thread writes it.
+/// The state of site failover, read by the second front and written by the fleet's thread.
 pub struct SiteFailover {
     config: FailoverConfig,
     own_site: Option<SiteId>,
     /// Plans that have been made.
     plans: Mutex<BTreeMap<Loss, FailoverPlan>>,
-    /// Losses whose plans are to be made.
-    wanted: Sender<Loss>,
+    /// Losses that need a plan, for the planner.
+    plan_requests: Sender<Loss>,
     current: ArcSwap<FailoverState>,
-    /// Held by whoever replaces `current`: the fleet's thread, or the planner.
-    writing: Mutex<()>,
+    /// Held by the thread that replaces `current`: the fleet's thread or the planner.
+    write_lock: Mutex<()>,
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -107,29 +107,29 @@
 }
 
 impl SiteFailover {
-    /// Starts the thread that makes plans: at once those for the loss of one site and of the pairs that the file names, others
-    /// when they are needed.
+    /// Starts the planner, a thread that first makes the plans for the loss of one site and of the file's pairs, then
+    /// others when they are needed.
     ///
     /// # Errors
     /// If the thread can't be started.
     pub fn start(config: FailoverConfig) -> std::io::Result<Arc<SiteFailover>> {
         let own_site = config.fronts.iter().find(|(name, _)| *name == config.own_name).map(|(_, site)| *site);
         let layout = &config.sites.layout;
-        let all_at_home = vec![1.0; layout.branches.len()];
-        let routing = FailoverRouting::new(layout, &FailoverPlan::default(), &all_at_home);
-        let (wanted, requests) = bounded(MAX_WANTED_PLANS);
+        let all_clients_at_home = vec![1.0; layout.branches.len()];
+        let routing = FailoverRouting::new(layout, &FailoverPlan::default(), &all_clients_at_home);
+        let (plan_requests, requests) = bounded(MAX_WAITING_LOSSES);
         let failover = Arc::new(SiteFailover {
             config,
             own_site,
             plans: Mutex::default(),
-            wanted,
+            plan_requests,
             current: ArcSwap::from_pointee(FailoverState { routing, ..FailoverState::default() }),
-            writing: Mutex::default(),
+            write_lock: Mutex::default(),
         });
         let planner = failover.clone();
         spawn("site-plans", move || {
-            let likely = planner.sites().losses();
-            likely.into_iter().chain(requests).for_each(|loss| planner.make_plan(loss));
+            let planned_in_advance = planner.sites().losses();
+            planned_in_advance.into_iter().chain(requests).for_each(|loss| planner.make_plan(loss));
         })?;
         Ok(failover)
     }
@@ -139,24 +139,24 @@
         &self.config.sites
     }
 
-    /// Where this front is.
+    /// The site of this front; `None` if it belongs to none.
     pub fn own_site(&self) -> Option<SiteId> {
         self.own_site
     }
 
-    /// What follows from the newest view.
+    /// The latest view and its consequences.
     pub fn current(&self) -> Arc<FailoverState> {
         self.current.load_full()
     }
 
-    /// Makes the plan for a loss, if there is none, and routes by it if that is what is lost.
+    /// Makes the plan for a loss, if there is none, and uses it for routing if this is the current loss.
     fn make_plan(&self, loss: Loss) {
         if lock(&self.plans).contains_key(&loss) {
             return;
         }
         let plan = self.solve(&loss);
         self.keep_plan(loss.clone(), plan);
-        let _writing = lock(&self.writing);
+        let _write_guard = lock(&self.write_lock);
         let before = self.current();
         if let Some(view) = before.view().filter(|view| self.loss(view) == loss) {
             let routing = self.routing(view);
@@ -170,11 +170,16 @@
             Ok(plan) => plan,
             Err(PlanError::MustServe { plan, class, missing_rate }) => {
                 let class = &layout.classes[class].name;
-                tracing::warn!(%class, short = missing_rate, ?loss, "sites: what must be served could not all be");
+                tracing::warn!(
+                    %class,
+                    short = missing_rate,
+                    ?loss,
+                    "sites: the plan does not serve all of what must be served"
+                );
                 *plan
             }
             Err(why) => {
-                tracing::error!(%why, "sites: there is no plan for a loss: its clients would be shared out evenly");
+                tracing::error!(%why, "sites: there is no plan for a loss: clients would be spread evenly");
                 self.sites().spread_evenly(loss)
             }
         }
@@ -188,9 +193,9 @@
         plans.insert(loss, plan);
     }
 
-    /// Takes a view that the fleet's thread was told; true if something has changed for clients.
+    /// Applies a view that the fleet's thread has received; true if it changes anything for clients.
     pub fn apply(&self, leased: LeasedSiteView) -> bool {
-        let _writing = lock(&self.writing);
+        let _write_guard = lock(&self.write_lock);
         let before = self.current();
         let mut next = (*before).clone();
         if next.held.apply(leased) == ViewUpdate::Stale {
@@ -206,8 +211,8 @@
         has_changed
     }
 
-    /// Fronts of lost sites own no key. An owner from before may be taking a request until its lease must have expired, and
-    /// running it for as long as a key lives.
+    /// Fronts of lost sites own no key. A previous owner may accept a request until its lease must have expired, and
+    /// run it for the lifetime of a key.
     fn change_owners(
         &self,
         ownership: &mut OwnershipHistory<String>,
@@ -233,64 +238,66 @@
         fronts.map(|(name, _)| name.clone()).collect()
     }
 
-    fn phase(&self, view: &SiteView, kind: SiteKind, place: usize) -> RecoveryPhase {
-        self.sites().nth_of_kind(kind, place).map_or(RecoveryPhase::Serving, |site| view.phase(site))
+    fn phase(&self, view: &SiteView, kind: SiteKind, index: usize) -> RecoveryPhase {
+        self.sites().nth_of_kind(kind, index).map_or(RecoveryPhase::Serving, |site| view.phase(site))
     }
 
-    /// What is lost, or does not serve all of its clients yet.
+    /// The sites that are lost or do not serve all of their clients yet.
     fn loss(&self, view: &SiteView) -> Loss {
         let layout = &self.sites().layout;
-        let away = |kind: SiteKind, count: usize| -> BTreeSet<usize> {
-            (0..count).filter(|place| self.phase(view, kind, *place) != RecoveryPhase::Serving).collect()
+        let not_serving = |kind: SiteKind, count: usize| -> BTreeSet<usize> {
+            (0..count).filter(|index| self.phase(view, kind, *index) != RecoveryPhase::Serving).collect()
         };
         Loss {
-            branches: away(SiteKind::Branch, layout.branches.len()),
-            hubs: away(SiteKind::Hub, layout.hubs.len()),
+            branches: not_serving(SiteKind::Branch, layout.branches.len()),
+            hubs: not_serving(SiteKind::Hub, layout.hubs.len()),
         }
     }
 
-    /// By the plan for what is lost, and by the part of each branch's clients that is at home by now. A plan that is not made yet
-    /// is requested, and until then clients are spread evenly: nothing here waits for a solver.
+    /// The routing by the plan for the current loss and by the fraction of each branch's clients that are back home. A
+    /// plan that does not exist yet is requested, and until then clients are spread evenly: nothing here waits for a
+    /// solver.
     fn routing(&self, view: &SiteView) -> FailoverRouting {
         let layout = &self.sites().layout;
         let loss = self.loss(view);
-        let known = lock(&self.plans).get(&loss).cloned();
-        let plan = known.unwrap_or_else(|| {
-            let _ = self.wanted.try_send(loss.clone());
+        let existing = lock(&self.plans).get(&loss).cloned();
+        let plan = existing.unwrap_or_else(|| {
+            let _ = self.plan_requests.try_send(loss.clone());
             self.sites().spread_evenly(&loss)
         });
-        let at_home = |branch| f64::from(self.phase(view, SiteKind::Branch, branch).client_percent()) / 100.0;
-        let at_home: Vec<f64> = (0..layout.branches.len()).map(at_home).collect();
-        FailoverRouting::new(layout, &plan, &at_home)
+        let home_fraction =
+            |branch| f64::from(self.phase(view, SiteKind::Branch, branch).client_percent()) / 100.0;
+        let home_fractions: Vec<f64> = (0..layout.branches.len()).map(home_fraction).collect();
+        FailoverRouting::new(layout, &plan, &home_fractions)
     }
 
-    /// All sites, as operators are shown them.
-    pub fn shown(&self) -> Vec<SiteStatusView> {
+    /// The status of all sites, for operators.
+    pub fn status(&self) -> Vec<SiteStatusView> {
         let current = self.current();
         let Some(view) = current.view() else { return Vec::new() };
         let sites = self.sites().names.iter().zip(&view.sites);
-        let shown = sites.map(|((name, _), entry)| SiteStatusView {
+        let views = sites.map(|((name, _), entry)| SiteStatusView {
             site: name.clone(),
             standing: entry.phase.name().to_lowercase(),
             clients: entry.phase.client_percent(),
             by_operator: entry.by_operator,
         });
-        shown.collect()
+        views.collect()
     }
 
-    /// The branch of this front, by its place in the plan.
+    /// The index of this front's branch in plans.
     pub fn own_branch(&self) -> Option<usize> {
         self.own_site.and_then(|site| self.sites().branch_index(site))
     }
 
-    /// What the plan says to a client that asks here.
+    /// What the plan decides for a client whose request arrives here.
     pub fn decide(&self, client: &Client) -> ClientDecision {
         let current = self.current();
         let (Some(home), Some(own)) = (self.sites().branch_named(client.home), self.own_branch()) else {
             return ClientDecision::ServeHere;
         };
-        // A client that were redirected by one view and back by another would go round for ever: a front without a lease
-        // redirects nobody.
+        // A client that one view redirects and another one redirects back would loop forever, so a front without a
+        // valid lease redirects no client.
         let serving = current.routing.branch(home, client.routing_draw);
         if serving.is_some_and(|branch| branch != own) && self.has_valid_lease(&current) {
             return ClientDecision::Redirect;
@@ -304,21 +311,21 @@
         }
     }
 
-    /// Whether this front's lease on the view is in force.
+    /// Whether this front's lease on the view is valid.
     pub fn has_valid_lease(&self, state: &FailoverState) -> bool {
         state.held.has_valid_lease(&self.config.lease, clock::both())
     }
 
-    /// Who runs a key's request that came at `came_at`.
-    pub fn owner(&self, edge: &EdgeConfig, key: &str, came_at: Ms, state: &FailoverState) -> Owner {
+    /// The front that runs a request for a key that arrived at `arrived_at`.
+    pub fn owner(&self, edge: &EdgeConfig, key: &str, arrived_at: Ms, state: &FailoverState) -> Owner {
         let entry_without = |excluded: &BTreeSet<String>| {
             edge.owner_among(key, |front: &FrontEntry| !excluded.contains(&front.name))
         };
         let owner_without =
             |excluded: &BTreeSet<String>| entry_without(excluded).map(|entry| entry.name.clone());
-        let retry_at = came_at + self.config.lease.duration as f64 / MICROS_PER_MS;
+        let retry_at = arrived_at + self.config.lease.duration as f64 / MICROS_PER_MS;
         let (own, is_leased) = (&self.config.own_name, self.has_valid_lease(state));
-        match state.ownership.owner(own, came_at, is_leased, retry_at, owner_without) {
+        match state.ownership.owner(own, arrived_at, is_leased, retry_at, owner_without) {
             KeyOwner::Own => Owner::Ours,
             KeyOwner::NobodyUntil(until) => Owner::NotYet(until),
             KeyOwner::Other(_) => {
--- a/front/src/fleet/site_watch.rs
+++ b/front/src/fleet/site_watch.rs
@@ -1,4 +1,5 @@
-//! What this front hears of other sites, and what it reports of them.
+//! Watches other sites by their fronts' datagrams and by probes of their cache nodes, and reports on them to the
+//! leader.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::Ordering::Relaxed;
@@ -20,44 +21,45 @@
 use crate::memory::ledger::LIVES;
 use crate::process::clock;
 
-const PROBE_QUEUE: usize = 256;
-/// All cache nodes of a site count as one: which of them are down is their own fronts' matter.
+/// Maximum number of probe answers that wait for the fleet's thread.
+const MAX_WAITING_ANSWERS: usize = 256;
+/// All cache nodes of a site count as one: which of them are down concerns only the fronts of their site.
 const ANY_CACHE: u64 = 0;
 
-/// What sites are watched by.
+/// Settings for watching sites.
 pub struct SiteWatchConfig<'a> {
     /// The fleet's file.
     pub config: &'a FleetConfig,
-    /// Its table of sites.
+    /// The settings of site failover in that file.
     pub table: &'a SitesEntry,
-    /// What all fronts agree on.
+    /// The settings on which all fronts agree.
     pub failover: &'a FailoverSettings,
     /// This front.
     pub own_name: &'a str,
-    /// The times that leases go by.
+    /// Durations and clock tolerances of leases.
     pub lease: LeaseSettings,
     /// The longest deadline of a request, in milliseconds.
     pub max_deadline_ms: f64,
-    /// Says when the event bus was last read up to its end.
+    /// Counters, of which one says when the event bus was last read to its end.
     pub counters: Arc<Counters>,
 }
 
-/// What this front hears of other sites.
+/// Watches other sites.
 pub struct SiteWatch {
     failover: Arc<SiteFailover>,
     monitor: SiteHealthMonitor,
     site_of_front: BTreeMap<FrontId, SiteId>,
-    probes: Receiver<probe::Heard>,
+    probe_answers: Receiver<probe::CacheAnswer>,
     counters: Arc<Counters>,
-    /// Since when its own site is in contact again, Unix milliseconds.
+    /// When this front's own site came into contact again, in Unix milliseconds; `None` while it is lost.
     recovering_since_ms: Option<u64>,
 }
 
 impl SiteWatch {
-    /// Starts the probes of other sites' cache nodes, and the planner.
+    /// Starts the planner and the probes of other sites' cache nodes.
     ///
     /// # Errors
-    /// If the file's sites can't be used, or a thread can't be started.
+    /// If the file's sites are invalid, or a thread can't be started.
     pub fn start(watch: SiteWatchConfig) -> Result<SiteWatch, StartError> {
         let SiteWatchConfig { config, table, failover: settings, own_name, lease, .. } = watch;
         let sites = SiteDirectory::from_config(table, &config.site).map_err(FleetConfigError::from)?;
@@ -71,37 +73,37 @@
         })
         .map_err(StartError::io("site-plans"))?;
         let timeout = Duration::from_secs_f64(table.silence_ms / 1000.0);
-        let sites = config.site.iter().enumerate().map(|(place, entry)| (SiteId(place as u16), entry));
+        let sites = config.site.iter().enumerate().map(|(index, entry)| (SiteId(index as u16), entry));
         let others: Vec<_> = sites.filter(|(site, _)| Some(*site) != failover.own_site()).collect();
-        let (heard, probes) = bounded(PROBE_QUEUE);
+        let (answer_sender, probe_answers) = bounded(MAX_WAITING_ANSWERS);
         let caches = others.iter().map(|(site, entry)| (*site, entry.boxes.clone())).collect();
-        probe::start(caches, timeout, &heard).map_err(StartError::io("site-probe"))?;
+        probe::start(caches, timeout, &answer_sender).map_err(StartError::io("site-probe"))?;
         let others = others.iter().map(|(site, _)| *site);
         let now = clock::both().monotonic;
         Ok(SiteWatch {
             failover,
             monitor: SiteHealthMonitor::new(timeout.as_micros() as u64, others, now),
             site_of_front: settings.site_of_front.clone(),
-            probes,
+            probe_answers,
             counters: watch.counters,
             recovering_since_ms: None,
         })
     }
 
-    /// What follows from the agreed view, for clients and keys.
+    /// The consequences of the view for clients and keys.
     pub fn failover(&self) -> &Arc<SiteFailover> {
         &self.failover
     }
 
-    /// What is reported now; `heard_fronts` are those that were heard since the last report.
+    /// The report on sites; `heard_fronts` are the fronts that were heard since the last one.
     pub fn report(&mut self, heard_fronts: Vec<FrontId>, own: OwnSiteState, now: Clocks) -> SiteReport {
         for front in heard_fronts {
             if let Some(site) = self.site_of_front.get(&front) {
                 self.monitor.on_front_heard(*site, front.0, now.monotonic);
             }
         }
-        while let Ok(heard) = self.probes.try_recv() {
-            self.monitor.on_cache_answered(heard.site, ANY_CACHE, heard.timeliness, now.monotonic);
+        while let Ok(answer) = self.probe_answers.try_recv() {
+            self.monitor.on_cache_answered(answer.site, ANY_CACHE, answer.timeliness, now.monotonic);
         }
         let current = self.failover.current();
         let view = current.view();
--- a/front/src/fleet/spend_log.rs
+++ b/front/src/fleet/spend_log.rs
@@ -1,5 +1,5 @@
-//! A log of all spending, one line a unit, for checkers that add up what all fronts have spent: microseconds of the machine's Unix
-//! clock, kind and resource of the budget, units, and what they were taken from.
+//! A log of all spending for checkers that add up what all fronts have spent. Each record is one line: microseconds of
+//! the machine's Unix clock, kind and resource of the budget, units, and the share that they were taken from.
 
 use std::fmt::Write as _;
 use std::fs::File;
@@ -15,10 +15,11 @@
 use crate::process::backoff::Backoff;
 use crate::process::spawn;
 
-/// Records that wait to be written; further ones are counted as lost, and then nothing can be concluded from the log.
+/// Maximum number of records that wait to be written. Further ones are counted as lost, and then nothing can be
+/// concluded from the log.
 const MAX_WAITING_RECORDS: usize = 65_536;
 
-/// Between two tries to write to a file that can't be written: the first, and the longest.
+/// Pauses between attempts to write after a failed write: the first and the longest.
 const RETRY_PAUSE: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(2));
 
 #[derive(Clone, Copy, Debug)]
@@ -40,7 +41,7 @@
     }
 }
 
-/// Hands records to the thread that writes them.
+/// Sends records to the thread that writes them.
 #[derive(Clone, Debug)]
 pub struct SpendLog {
     records: Sender<SpendRecord>,
@@ -49,17 +50,20 @@
 
 impl SpendLog {
     /// Opens the file and starts the thread.
+    ///
+    /// # Errors
+    /// If the file can't be opened or the thread can't be started.
     pub fn start(path: &Path) -> Result<SpendLog, String> {
         let file = SpendFile::open(path).map_err(|e| format!("{}: {e}", path.display()))?;
         let (records, waiting) = bounded(MAX_WAITING_RECORDS);
         let lost = Arc::new(AtomicU64::new(0));
-        let lost_count = lost.clone();
-        let write = move || write_records(file, &waiting, &lost_count);
+        let lost_counter = lost.clone();
+        let write = move || write_records(file, &waiting, &lost_counter);
         spawn("fleet-record", write).map_err(|e| e.to_string())?;
         Ok(SpendLog { records, lost })
     }
 
-    /// Records a unit that was spent.
+    /// Records units that were spent.
     pub fn record(&self, at: Micros, budget: BudgetId, units: f64, source: PermitSource) {
         let record = SpendRecord { at, budget, units, source };
         if self.records.try_send(record).is_err() {
@@ -68,10 +72,10 @@
     }
 }
 
-/// The file, of which a part that was not written whole is cut off again.
+/// The log's file. A partially written record is truncated before the next write.
 struct SpendFile {
     file: File,
-    /// Bytes that were written whole.
+    /// Length of the completely written records, in bytes.
     length: u64,
 }
 
@@ -92,7 +96,8 @@
     }
 }
 
-/// Writes records as they come. While the file can't be written they wait: those that find no room are counted as lost.
+/// Writes records as they arrive. While the file can't be written they wait; those that exceed the queue are counted as
+/// lost.
 fn write_records(mut file: SpendFile, waiting: &Receiver<SpendRecord>, lost: &AtomicU64) {
     let mut backoff = Backoff::new(RETRY_PAUSE.0, RETRY_PAUSE.1);
     while let Ok(first) = waiting.recv() {
--- a/front/src/fleet/start.rs
+++ b/front/src/fleet/start.rs
@@ -1,4 +1,5 @@
-//! Starts the fleet's thread with everything around it: socket, store, operators' socket, and the engine's side.
+//! Starts the fleet's thread with its socket, its store and the operators' socket, and makes the engine's clients of
+//! it.
 
 use std::sync::Arc;
 
@@ -14,7 +15,7 @@
 use crate::exchange::Input;
 use crate::fleet::config::{FleetConfig, FrontEntry};
 use crate::fleet::datagram_socket::FleetSocket;
-use crate::fleet::operator::{OperatorCalls, OperatorDesk, Order};
+use crate::fleet::operator::{OperatorCalls, OperatorDesk, RunnerCommand};
 use crate::fleet::operator_socket;
 use crate::fleet::runner::{NodeTemplate, Runner, RunnerChannels};
 use crate::fleet::site_failover::SiteFailover;
@@ -25,11 +26,11 @@
 use crate::memory::counters::Counters;
 use crate::process::{clock, spawn};
 
-/// Reports of the engine, and orders of the program, that may wait for the thread.
-const REPORT_QUEUE: usize = 64;
-const ORDER_QUEUE: usize = 16;
+/// Maximum number of engine reports, and of commands from the process, that wait for the thread.
+const MAX_WAITING_REPORTS: usize = 64;
+const MAX_WAITING_COMMANDS: usize = 16;
 
-/// What the fleet is started for.
+/// What the fleet is started with.
 pub struct FleetStart<'a> {
     /// The fleet's file.
     pub config: &'a FleetConfig,
@@ -37,38 +38,38 @@
     pub name: &'a str,
     /// The longest deadline of a request, in milliseconds.
     pub max_deadline_ms: f64,
-    /// A number that nobody else has.
+    /// A random number that differs between processes.
     pub seed: u64,
     /// The engine's inputs.
     pub inputs: Sender<Input>,
-    /// The program's counters.
+    /// The process's counters.
     pub counters: Arc<Counters>,
 }
 
-/// The running fleet, and the engine's sides of it.
-pub struct Started {
-    /// For leaving it.
+/// A handle to the fleet's thread, and the engine's clients of the fleet.
+pub struct StartedFleet {
+    /// The handle for leaving the fleet.
     pub fleet: Fleet,
-    /// The fleet's budgets.
+    /// The engine's client for the fleet's budgets.
     pub budgets: Box<BudgetClient>,
-    /// `None` where no machine goes into maintenance.
+    /// The engine's client for maintenance; `None` if it is not configured.
     pub maintenance: Option<Box<MaintenanceClient>>,
-    /// `None` where no sites are watched.
+    /// The failover of sites; `None` if it is not configured.
     pub sites: Option<Arc<SiteFailover>>,
 }
 
-/// The running fleet, as the rest of the program sees it.
+/// The process's handle to the fleet's thread.
 pub struct Fleet {
-    orders: Sender<Order>,
+    commands: Sender<RunnerCommand>,
     waker: Waker,
 }
 
-/// How long an end in order waits for each of its two steps.
+/// Maximum wait for each of the two steps of an orderly departure.
 const LEAVE_TIMEOUT: std::time::Duration = std::time::Duration::from_millis(500);
 
 impl Fleet {
-    /// Gives back what this front holds; the engine spends no leased quota any more. Waits until the others know, or for half a
-    /// second.
+    /// Leaves the fleet in order: the engine stops spending leased quotas, then the node returns them and leaves. Each
+    /// step waits for at most [`LEAVE_TIMEOUT`].
     pub fn leave(&self, inputs: &Sender<Input>) {
         let (confirm, closed) = bounded(1);
         let close = crate::fleet_link::FleetUpdate::Close(confirm);
@@ -76,7 +77,7 @@
             return;
         }
         let (confirm, left) = bounded(1);
-        if self.orders.send(Order::Leave(confirm)).is_ok() {
+        if self.commands.send(RunnerCommand::Leave(confirm)).is_ok() {
             self.waker.wake();
             let _ = left.recv_timeout(LEAVE_TIMEOUT);
         }
@@ -87,9 +88,9 @@
 ///
 /// # Errors
 /// If the file, the store, a socket or a thread can't be used.
-pub fn start(start: FleetStart) -> Result<Started, StartError> {
+pub fn start(start: FleetStart) -> Result<StartedFleet, StartError> {
     let FleetStart { config, name, max_deadline_ms, seed, inputs, counters } = start;
-    let own = config.own(name).ok_or_else(|| StartError::UnknownFront(name.to_owned()))?;
+    let own = config.front_entry(name).ok_or_else(|| StartError::UnknownFront(name.to_owned()))?;
     let settings = config.settings(max_deadline_ms)?;
     let (store, recovered) = open_store(config)?;
     let socket = bind(own, &counters)?;
@@ -105,11 +106,11 @@
         seed,
     };
     let node = template.start(recovered)?;
-    let (reports_in, reports) = bounded(REPORT_QUEUE);
-    let (orders_in, orders) = bounded(ORDER_QUEUE);
+    let (report_sender, reports) = bounded(MAX_WAITING_REPORTS);
+    let (command_sender, commands) = bounded(MAX_WAITING_COMMANDS);
     let status = Arc::new(ArcSwapOption::empty());
     let calls = OperatorCalls {
-        orders: orders_in.clone(),
+        commands: command_sender.clone(),
         waker: waker()?,
         status: status.clone(),
         configured_fronts: config.front.iter().map(|front| front.name.clone()).collect(),
@@ -118,25 +119,26 @@
     };
     let path = config.operator_socket(name);
     operator_socket::listen(&path, calls).map_err(StartError::io(path.display()))?;
-    let budgets = budget_client(config, own, &template.settings, reports_in, waker()?)?;
-    let fleet = Fleet { orders: orders_in, waker: waker()? };
+    let budgets = budget_client(config, own, &template.settings, report_sender, waker()?)?;
+    let fleet = Fleet { commands: command_sender, waker: waker()? };
     let runner = Runner::new(
         config,
         socket,
         node,
         store,
         template,
-        RunnerChannels { inputs, reports, orders, status },
+        RunnerChannels { inputs, reports, commands, status },
         OperatorDesk::new(config),
         sites,
     );
     spawn("fleet", move || runner.run_until_panic()).map_err(StartError::io("fleet"))?;
-    Ok(Started { fleet, budgets, maintenance, sites: failover })
+    Ok(StartedFleet { fleet, budgets, maintenance, sites: failover })
 }
 
 fn open_store(config: &FleetConfig) -> Result<(Option<Store>, RecoveredState), StartError> {
     let Some(path) = &config.store else {
-        // Without a store only the clock tells incarnations apart; a clock that went back makes this one that the others reject.
+        // Without a store only the clock tells incarnations apart. If it has gone back, this incarnation is lower than
+        // the previous one and the other fronts reject it.
         let incarnation = clock::steady_ms() as u64;
         return Ok((None, RecoveredState { incarnation, ..RecoveredState::default() }));
     };
@@ -145,7 +147,7 @@
     Ok((Some(store), recovered))
 }
 
-/// The socket, with its counters among the program's.
+/// Binds the socket and registers its counters with the process's.
 fn bind(own: &FrontEntry, counters: &Counters) -> Result<FleetSocket, StartError> {
     let address = own.listen.unwrap_or(own.address);
     let datagrams = counters.fleet_datagrams.get_or_init(Arc::default).clone();
--- a/front/src/fleet/start_error.rs
+++ b/front/src/fleet/start_error.rs
@@ -12,29 +12,29 @@
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
     /// The fleet's file does not name this front.
-    #[error("no [[front]] has the name {0:?}")]
+    #[error("there is no [[front]] with the name {0:?}")]
     UnknownFront(String),
     /// The fleet's file can't be used.
     #[error(transparent)]
     Config(#[from] FleetConfigError),
-    /// The record of what is spent can't be written.
+    /// The spend log can't be written.
     #[error("{0}")]
     SpendLog(String),
     /// The store can't be used.
     #[error("{}: {error}", path.display())]
     Store {
-        /// Where it is.
+        /// Its path.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         #[source]
         error: StoreError,
     },
-    /// A socket, a file or a thread can't be had.
+    /// A socket, a file or a thread can't be opened or started.
     #[error("{what}: {error}")]
     Io {
-        /// An address, a path or a thread.
+        /// The address, the path or the name of the thread.
         what: String,
-        /// Why.
+        /// The cause.
         #[source]
         error: io::Error,
     },
@@ -44,6 +44,7 @@
 }
 
 impl StartError {
+    /// Makes an error of an I/O error on `what`; for `map_err`.
     pub(crate) fn io(what: impl ToString) -> impl FnOnce(io::Error) -> StartError {
         let what = what.to_string();
         move |error| StartError::Io { what, error }
--- a/front/src/lifecycle/serve.rs
+++ b/front/src/lifecycle/serve.rs
@@ -75,7 +75,7 @@
         Engine::new(config.settings.clone(), config.seed, pool, counters.clone()).with_class_names(names);
     let (fleet, engine, sites) = match begin_fleet(&second.fleet, &config, &inputs, &counters)? {
         None => (None, engine, None),
-        Some(fleet::Started { fleet, budgets, maintenance, sites }) => {
+        Some(fleet::StartedFleet { fleet, budgets, maintenance, sites }) => {
             (Some(fleet), engine.with_budgets(Some(budgets)).with_maintenance(maintenance), sites)
         }
     };
@@ -196,7 +196,7 @@
     config: &Config,
     inputs: &Sender<Input>,
     counters: &Arc<Counters>,
-) -> Result<Option<fleet::Started>, String> {
+) -> Result<Option<fleet::StartedFleet>, String> {
     if !file.exists() {
         log::init(log::LogForm::default());
         return Ok(None);
--- a/front/src/main.rs
+++ b/front/src/main.rs
@@ -86,7 +86,7 @@
     };
     let (config, edge_option) = (option("--config")?, option("--edge")?);
     let (control, out, cells) = (option("--control")?, option("--out")?, option("--cells")?);
-    let fleet = option("--fleet")?.unwrap_or_else(|| fleet::config::FILE.into());
+    let fleet = option("--fleet")?.unwrap_or_else(|| fleet::config::DEFAULT_PATH.into());
     let mut rest = args.finish();
     let file = edge_option.unwrap_or_else(|| edge::config::FILE.into());
     let cells = cells.unwrap_or_else(|| edge::cells::FILE.into());
@@ -161,9 +161,9 @@
             let words: Vec<String> = words.iter().map(|w| w.to_string_lossy().into_owned()).collect();
             let sites = config.sites.as_ref().map(|sites| (sites, &config.site[..]));
             if words.first().is_none_or(|w| w != "plan") {
-                return fleet::site_command::ask(&config.operator_socket(&name), &words, json);
+                return fleet::site_command::run_request(&config.operator_socket(&name), &words, json);
             }
-            if !fleet::site_command::run(sites, &words)? {
+            if !fleet::site_command::run_plan(sites, &words)? {
                 return Ok(ExitCode::FAILURE);
             }
         }
--- a/front/tests/fleet.rs
+++ b/front/tests/fleet.rs
@@ -280,7 +280,7 @@
     fleet.kill(victim);
     fleet.put_back(victim).unwrap();
     fleet.start_front(victim).unwrap();
-    fleet.front(victim).log.wait("its store is a copy from before", 0).unwrap();
+    fleet.front(victim).log.wait("its store is an older copy", 0).unwrap();
     assert!(until(|| fleet.role(victim) == "voter"), "{}", fleet.role(victim));
     assert!(fleet.shown(victim).unwrap()["incarnation"].as_u64().unwrap() > new);
     let again = load(&fleet, victim, 30.0);
@@ -577,7 +577,7 @@
     // Something has to be agreed on: the demand moves.
     let other = others(&fleet, victim)[0];
     loads.push(Load::start(fleet.front(other).listen().unwrap(), "small-files", 60.0, 8, 77 << 48));
-    fleet.front(victim).log.wait("this front votes no more", 0).unwrap();
+    fleet.front(victim).log.wait("this front does not vote until", 0).unwrap();
     assert!(until(|| fleet.role(victim).contains("does not vote")), "{}", fleet.role(victim));
     fleet.wait_shares(&[victim], RETRIES, 0.05).unwrap();
     fleet.wait_shares(&[0, 1, 2], RETRIES, 0.7).unwrap();
