--- a/core/budgets/src/state.rs
+++ b/core/budgets/src/state.rs
@@ -524,7 +524,7 @@
         kind: BudgetKind,
         /// Sum of the committed minimums.
         minimums: u64,
-        /// What is reserved.
+        /// The part of the total that is reserved for minimums.
         reserved: u64,
     },
     /// The quotas and the reserve together exceed the total.
@@ -534,7 +534,7 @@
         budget: BudgetId,
         /// Sum of the committed quotas.
         sum: u64,
-        /// What is reserved.
+        /// The part of the total that is reserved for minimums.
         reserved: u64,
     },
 }
--- a/core/cells/src/layout.rs
+++ b/core/cells/src/layout.rs
@@ -40,7 +40,7 @@
 pub struct ShopRule {
     pub shop: String,
     pub cell: CellIx,
-    /// Number of the cell's cache nodes that serve the shop, a subset of its own; `None` for all.
+    /// Number of the cell's cache nodes that serve the shop, in a subset chosen for it; `None` for all.
     pub shard: Option<usize>,
     /// Requests per second; `None` for [`Limits::shop_rate`].
     pub rate: Option<f64>,
@@ -130,16 +130,16 @@
     pub fn new(cells: Vec<Cell>, rules: Vec<ShopRule>, limits: Limits) -> Result<Layout, LayoutError> {
         let invalid = |cause: String| Err(LayoutError(cause));
         if !(1..=MAX_CELLS).contains(&cells.len()) {
-            return invalid(format!("{} cells: 1 to {MAX_CELLS}", cells.len()));
+            return invalid(format!("there are {} cells, but must be 1 to {MAX_CELLS}", cells.len()));
         }
         if rules.len() > MAX_SHOP_RULES {
-            return invalid(format!("{} shops: {MAX_SHOP_RULES} at most", rules.len()));
+            return invalid(format!("there are {} shops, but may be at most {MAX_SHOP_RULES}", rules.len()));
         }
         let mut cell_of_node: BTreeMap<&str, &str> = BTreeMap::new();
         let mut names: Vec<&str> = cells.iter().map(|c| &c.name[..]).collect();
         names.sort_unstable();
         if let Some(pair) = names.windows(2).find(|p| p[0] == p[1]) {
-            return invalid(format!("cell {} is there twice", pair[0]));
+            return invalid(format!("cell {} is listed twice", pair[0]));
         }
         for cell in &cells {
             if cell.boxes.is_empty() {
@@ -151,41 +151,41 @@
                 }
             }
             if !(cell.weight.is_finite() && (0.0..=1e6).contains(&cell.weight)) {
-                return invalid(format!("cell {}: weight is 0 to 1e6", cell.name));
+                return invalid(format!("cell {}: weight must be 0 to 1e6", cell.name));
             }
             if !(0.0..=1.0).contains(&cell.source_share) {
-                return invalid(format!("cell {}: source_share is 0 to 1", cell.name));
+                return invalid(format!("cell {}: source_share must be 0 to 1", cell.name));
             }
         }
         if cell_of_node.len() > MAX_NODES {
-            return invalid(format!("{MAX_NODES} boxes at most"));
+            return invalid(format!("there may be at most {MAX_NODES} boxes"));
         }
         if cells.iter().map(|c| c.source_share).sum::<f64>() > 1.0 + 1e-9 {
             return invalid("the cells' source_share add up to more than 1".into());
         }
         if !cells.iter().any(|c| c.weight > 0.0 && !c.evacuate) {
-            return invalid("no cell takes shops: a weight above 0 and no evacuate is needed".into());
+            return invalid("no cell takes shops: one needs a weight above 0 and no evacuate".into());
         }
         let mut by_shop = BTreeMap::new();
         for rule in rules {
             let Some(cell) = cells.get(usize::from(rule.cell.0)) else {
-                return invalid(format!("shop {}: there is no such cell", rule.shop));
+                return invalid(format!("shop {}: its cell does not exist", rule.shop));
             };
             if rule.shard.is_some_and(|n| !(1..=cell.boxes.len()).contains(&n)) {
                 return invalid(format!(
-                    "shop {}: shard is 1 to {}, the boxes of its cell",
+                    "shop {}: shard must be 1 to {}, the number of boxes of its cell",
                     rule.shop,
                     cell.boxes.len()
                 ));
             }
             if rule.rate.is_some_and(|r| !(r.is_finite() && r > 0.0 && r <= 1e6)) {
-                return invalid(format!("shop {}: rate is above 0 and 1e6 at most", rule.shop));
+                return invalid(format!("shop {}: rate must be above 0 and at most 1e6", rule.shop));
             }
             if !(rule.worth.is_finite() && (0.0..=1e6).contains(&rule.worth)) {
-                return invalid(format!("shop {}: worth is 0 to 1e6", rule.shop));
+                return invalid(format!("shop {}: worth must be 0 to 1e6", rule.shop));
             }
             if let Some(other) = by_shop.insert(ShopId::of(&rule.shop), rule.clone()) {
-                return invalid(format!("shop {} is there twice ({})", rule.shop, other.shop));
+                return invalid(format!("shop {} is listed twice ({})", rule.shop, other.shop));
             }
         }
         let l = &limits;
@@ -207,7 +207,7 @@
                 .all(|t| t.is_finite() && (1.0..=3.6e6).contains(t));
         match valid {
             true => Ok(Layout { name_hashes: name_hashes(&cells), cells, rules: by_shop, limits }),
-            false => invalid("limits: a figure is out of its range".into()),
+            false => invalid("limits: a value is out of its range".into()),
         }
     }
 
--- a/core/cells/src/moves.rs
+++ b/core/cells/src/moves.rs
@@ -24,7 +24,7 @@
     Undone,
 }
 
-/// State of the two cells that decides whether a move may go on.
+/// State of the two cells that decides whether a move may proceed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MoveConditions {
     /// The target has a ready cache node.
--- a/core/consensus/src/voter.rs
+++ b/core/consensus/src/voter.rs
@@ -286,7 +286,8 @@
     }
 
     /// Starts a linearizable read: `request` is returned in [`Progress::acknowledged_reads`] once a majority has
-    /// confirmed this leader and everything that was committed before the call is applied. It may never be returned.
+    /// confirmed this leader and everything that was committed before the call is applied. It is not guaranteed to be
+    /// returned.
     pub fn read_index(&mut self, request: u64) {
         if self.role() == Role::Leader {
             self.node.read_index(request.to_le_bytes().to_vec());
--- a/core/ratelimit/src/heavy_senders.rs
+++ b/core/ratelimit/src/heavy_senders.rs
@@ -42,7 +42,7 @@
 }
 
 impl HeavySenders {
-    /// Counts a datagram. At the end of a window, returns its heavy senders. `now` is of a monotonic clock.
+    /// Counts a datagram. At the end of a window, returns its heavy senders. `now` must come from a monotonic clock.
     pub fn observe(&mut self, sender: SocketAddr, now: Ms) -> Vec<SocketAddr> {
         if self.observed == 0 {
             self.started_at = now;
--- a/core/ratelimit/src/lib.rs
+++ b/core/ratelimit/src/lib.rs
@@ -78,14 +78,14 @@
             ("all", self.all),
         ] {
             if !(rate.is_finite() && (0.0..=1e6).contains(&rate)) {
-                return Err(format!("{name} is {rate}: 0 (no limit) to 1e6 a second"));
+                return Err(format!("{name} is {rate}, but must be 0 (no limit) to 1e6 per second"));
             }
         }
         if !(self.burst_s.is_finite() && (0.1..=60.0).contains(&self.burst_s)) {
-            return Err(format!("burst_s is {}: 0.1 to 60", self.burst_s));
+            return Err(format!("burst_s is {}, but must be 0.1 to 60", self.burst_s));
         }
         if !(64..=1 << 20).contains(&self.places) {
-            return Err(format!("places is {}: 64 to {}", self.places, 1 << 20));
+            return Err(format!("places is {}, but must be 64 to {}", self.places, 1 << 20));
         }
         Ok(())
     }
--- a/core/sites/src/failover_plan.rs
+++ b/core/sites/src/failover_plan.rs
@@ -174,7 +174,7 @@
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum PlanError {
     /// Some requests of a class that must be served cannot be.
-    #[error("{missing_rate:.2} requests a second of class {class}, which must be served, can't be")]
+    #[error("{missing_rate:.2} requests per second of class {class} must be served, but cannot be")]
     MustServe {
         /// The class.
         class: usize,
@@ -184,28 +184,28 @@
         plan: Box<FailoverPlan>,
     },
     /// A value for the origin or [`Layout::max_own_loss`] is out of range.
-    #[error("the origin's figures, or own_loss, are no parts or rates")]
+    #[error("a value of the origin, or own_loss, is out of range")]
     InvalidOrigin,
     /// A value of a class is negative or not finite.
-    #[error("class {name}: a figure is none")]
+    #[error("class {name}: a value is negative or not finite")]
     InvalidClass {
         /// The class.
         name: String,
     },
     /// A value of a site is negative or not finite.
-    #[error("site {name}: a figure is none")]
+    #[error("site {name}: a value is negative or not finite")]
     InvalidSite {
         /// The site.
         name: String,
     },
     /// A branch does not have one load per class and one link capacity per hub.
-    #[error("site {name}: a load for each class and a link for each hub are wanted")]
+    #[error("site {name}: it must have a load for each class and a link for each hub")]
     IncompleteSite {
         /// The site.
         name: String,
     },
     /// Branches that take displaced clients cannot keep serving their own as required.
-    #[error("own clients of a taker could not keep what they have: the figures do not fit")]
+    #[error("branches that take displaced clients cannot keep serving their own clients as required")]
     Infeasible,
     /// The solver failed; contains its message.
     #[error("{0}")]
--- a/core/sites/src/health_monitor.rs
+++ b/core/sites/src/health_monitor.rs
@@ -66,7 +66,7 @@
         }
     }
 
-    /// The current opinion on a site. It is healthy until the monitor has run for a whole timeout.
+    /// The current opinion of a site. It is healthy until the monitor has run for a whole timeout.
     pub fn opinion(&self, site: SiteId, now: Micros) -> SiteOpinion {
         let Some(answers) = self.sites.get(&site) else { return SiteOpinion::HEALTHY };
         if now.saturating_sub(self.started_at) < self.timeout {
--- a/core/sites/src/opinion.rs
+++ b/core/sites/src/opinion.rs
@@ -13,7 +13,7 @@
     Unreachable,
 }
 
-/// An opinion on the health of a site.
+/// An opinion of the health of a site.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct SiteOpinion {
     /// Reachability of its fronts.
--- a/core/sites/src/ownership.rs
+++ b/core/sites/src/ownership.rs
@@ -62,12 +62,13 @@
         self.excluded = excluded;
     }
 
-    /// Replaces the excluded fronts. An owner under an earlier view may accept a request until its lease must have
-    /// expired, and run it for the lifetime of a key; both have passed at `until`.
+    /// Replaces the excluded fronts, and remembers the previous ones until `until`. An owner under an earlier view may
+    /// accept a request until its lease must have expired, and run it for the lifetime of a key; both have passed at
+    /// `until`.
     ///
-    /// `uncertain` are the fronts of sites with changes that `own` may have missed since the previous view: each of
-    /// them may or may not have been excluded in between. If `own` is one of them, any other front may have owned any
-    /// key. Otherwise only fronts that were not excluded can have owned a key instead of `own`.
+    /// `uncertain` are the fronts of sites with changes since the previous view that `own` may have missed: each of
+    /// these fronts may or may not have been excluded in between. If `own` is one of them, any other front may have
+    /// owned any key meanwhile. Otherwise only fronts that were not excluded can have owned a key instead of `own`.
     pub fn update(
         &mut self,
         own: &F,
--- a/core/sites/src/state.rs
+++ b/core/sites/src/state.rs
@@ -45,7 +45,7 @@
     pub failed_recoveries: u8,
 }
 
-/// One site's opinion on another one.
+/// One site's opinion of another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct HeldOpinion {
     opinion: SiteOpinion,
--- a/front/src/fleet/site_command/tests.rs
+++ b/front/src/fleet/site_command/tests.rs
@@ -51,7 +51,7 @@
         ("files = 60.0", "fools = 60.0", "no class"),
         ("east = 30.0", "west = 30.0", "no hub"),
         ("name = \"buda\"", "name = \"pest\"", "the same name"),
-        ("room = 60.0", "room = -1.0", "a figure is none"),
+        ("room = 60.0", "room = -1.0", "a value is negative or not finite"),
     ] {
         let message = plan_pest_lost(&FILE.replacen(from, to, 1)).unwrap_err();
         assert!(message.contains(cause), "{message}");
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -16,7 +16,7 @@
 }
 
 fn required_number(object: &Value, key: &str) -> Result<f64, String> {
-    number(object, key).ok_or_else(|| format!("settings: {key} is missing or no number"))
+    number(object, key).ok_or_else(|| format!("settings: {key} is missing or not a number"))
 }
 
 fn numbers(object: &Value, key: &str) -> Vec<f64> {
@@ -70,25 +70,25 @@
             match &root[section][key] {
                 Value::Null => {}
                 v if v.is_number() => {}
-                v => return Err(format!("settings: {section}: {key} is {v}, which is no figure")),
+                v => return Err(format!("settings: {section}: {key} is {v}, which is not a number")),
             }
         }
     }
     let zones = root["Zones"].as_array().map_or(0, Vec::len);
     match root["Az"].as_u64() {
         Some(az) if zones > 0 && az >= zones as u64 => {
-            return Err(format!("settings: Az is {az}, and there are {zones} Zones"))
+            return Err(format!("settings: Az is {az}, but must be less than {zones}, the number of Zones"))
         }
         _ => {}
     }
     let classes =
-        root["RequestClasses"].as_array().ok_or("settings: RequestClasses is missing or no list")?;
+        root["RequestClasses"].as_array().ok_or("settings: RequestClasses is missing or not a list")?;
     if classes.is_empty() {
         return Err("settings: RequestClasses is empty".into());
     }
     let positive = |object: &Value, key: &str, what: &str| match object.get(key) {
         Some(v) if v.as_f64().is_some_and(|n| n > 0.0 && n.is_finite()) => Ok(()),
-        Some(v) => Err(format!("settings: {what} {key} is {v}, which is no positive number")),
+        Some(v) => Err(format!("settings: {what} {key} is {v}, which is not a positive number")),
         None => Err(format!("settings: {what} has no {key}")),
     };
     for class in classes {
@@ -100,7 +100,7 @@
             positive(class, "MemorySpanMs", &format!("class {name}:"))?;
         }
         if classes.iter().filter(|c| c["Name"].as_str() == Some(name)).count() > 1 {
-            return Err(format!("settings: class {name} is there twice"));
+            return Err(format!("settings: class {name} is listed twice"));
         }
     }
     if root["Limits"].get("TryLimit").is_some() {
@@ -119,7 +119,7 @@
     let (family, limits, rules) = (section("FamilyInfo"), section("Limits"), section("Rules"));
     let (fresh, grace) = (numbers(family, "FreshForMs"), numbers(family, "UsableAfterMs"));
     let list =
-        section("RequestClasses").as_array().ok_or("settings: RequestClasses is missing or no list")?;
+        section("RequestClasses").as_array().ok_or("settings: RequestClasses is missing or not a list")?;
     let mut classes = Vec::new();
     for (index, class) in list.iter().enumerate() {
         classes.push(ClassSettings {
@@ -131,7 +131,7 @@
                 "free" => Repeat::Safe,
                 "guarded" => Repeat::Keyed,
                 "single_shot" => Repeat::Unsafe,
-                other => return Err(format!("settings: Repeat is {other:?}")),
+                other => return Err(format!("settings: Repeat is {other:?}, not a known value")),
             },
             key_scope: match string(class, "Group") {
                 "all" => KeyScope::All,
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -37,12 +37,12 @@
 /// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Repeat {
-    /// Any number of times.
+    /// It may run any number of times.
     #[default]
     Safe,
     /// Repeats are dropped by their key within [`ClassSettings::key_scope`] and [`ClassSettings::key_window`].
     Keyed,
-    /// At most once.
+    /// It may run at most once.
     Unsafe,
 }
 
@@ -140,13 +140,13 @@
     pub cold_fraction: Option<f64>,
     /// Time from the start of a cache until it is warm.
     pub cold_duration: Option<Ms>,
-    /// The same for parents.
+    /// [`Settings::overload_factor`] for parents.
     pub parent_overload_factor: Option<f64>,
-    /// The same for parents.
+    /// [`Settings::cold_fraction`] for parents.
     pub parent_cold_fraction: Option<f64>,
-    /// The same for parents.
+    /// [`Settings::cold_duration`] for parents.
     pub parent_cold_duration: Option<Ms>,
-    /// Time in which all caches drop purged copies.
+    /// Time within which all caches drop purged copies.
     pub purge_duration: Option<Ms>,
 }
 
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -17,7 +17,7 @@
 const MAX_HALVINGS: u32 = 12; // limits the halving of the ring where start points nearly coincide
 const RAMP_STEPS: f64 = 6.0; // few, because each step of a ramp moves objects
 const MAX_FORMER_RINGS: usize = 4; // previous cache tables that are searched for an object's last owner
-const FORMER_OWNER_MS: Ms = 10_000.0; // for this long a former owner is asked: about what caches keep unused
+const FORMER_OWNER_MS: Ms = 10_000.0; // how long a former owner is asked: unused copies stay about as long
 
 const OVERHEAD_MS: Ms = 100.0; // added to the work when latencies are compared: round trips and queues
 const LEARNING_RATE: f64 = 0.02; // weight of a new sample in a mean: about 50 samples count
@@ -38,8 +38,8 @@
 const SHED_MAX: f64 = 5.0; // and at most at this one: its size and the time left decide
 const FAIR_LARGE_SHARE: f64 = 0.7; // of its class's answered share, owed to requests over the mean work
 const RETRY_RATE: f64 = 0.1; // retries earned per request: bounds how far retries multiply an overload
-const RETRY_BURST: f64 = 20.0; // most retries saved up
-const MIN_WAIT_PART: f64 = 0.6; // least part of the longest retry-after: clients must not return together
+const RETRY_BURST: f64 = 20.0; // maximum number of saved retries
+const MIN_WAIT_PART: f64 = 0.6; // minimum part of the maximum retry-after: spreads the clients' returns
 const LINK_GUARD_END: f64 = 0.05; // share of bad outcomes that ends the guard
 const LINK_GUARD_BEGIN: f64 = 0.12; // share of bad outcomes that begins it
 const LINK_GUARD_RATE: f64 = 0.03; // weight of a new outcome in that level: about 30 outcomes count
@@ -51,15 +51,15 @@
 const ORIGIN_WAIT_MIN: f64 = 1.5; // multiple of the usual origin wait up to which a fetch is not bad at all
 const ORIGIN_WAIT_MAX: f64 = 4.0; // multiple from which it is fully bad
 const WINDOW_STEPS: (f64, f64) = (0.94, 1.03); // factors of a window for one front: late fill, timely fill
-const MIN_WINDOW: f64 = 0.25; // least part of the initial window: a smaller one never notices a free path
-const WINDOW_REGROWTH_MS: Ms = 12_000.0; // a window grows back by e: a small one sees too little to tell
+const MIN_WINDOW: f64 = 0.25; // minimum part of the initial window: a smaller one never notices a free path
+const WINDOW_REGROWTH_MS: Ms = 12_000.0; // time to grow by e: too few fills in a small window to judge by
 const PARENT_FILLS: f64 = 2.0; // guarded fills of all fronts at a parent, per transfer that its link carries
-const DRAW_PERIOD_MS: Ms = 400.0; // fractional limits are drawn once per period: one per request is no limit
+const DRAW_PERIOD_MS: Ms = 400.0; // period of draws for fractional limits: one per request limits nothing
 const DEFAULT_ATTEMPTS: u32 = 3; // if the settings give no limit
-const MIN_ATTEMPT_MS: Ms = 10.0; // an attempt cannot return in less time before the deadline
+const MIN_ATTEMPT_MS: Ms = 10.0; // with less time before the deadline no attempt starts: it could not return
 
 const PURGE_MARGIN_MS: Ms = 2.0; // subtracted from the maximum age after a purge: clocks and rounding
-const MIN_COPY_AGE_MS: Ms = 1.0; // least maximum age that can be requested
+const MIN_COPY_AGE_MS: Ms = 1.0; // lowest maximum age that can be requested
 const PURGE_RETENTION_FACTOR: f64 = 1.5; // purges are kept for this multiple of their duration
 const DEFAULT_PURGE_MS: Ms = 10_000.0; // time until all caches have dropped old copies, if not set
 const KEEP_REMOVED_MS: Ms = 120_000.0; // a removed member is kept for late replies
@@ -315,14 +315,14 @@
     }
 }
 
-/// Limit of attempts in flight under a guard; late ones lower it. A limit below one is a chance of one.
+/// Limit of attempts in flight under a guard; late ones lower it. Below 1 it is the probability of one.
 #[derive(Debug, Default)]
 struct Window {
     used: f64,
     limit: f64,
-    initial: f64, // where it begins and grows back to
+    initial: f64, // initial limit, up to which it grows back
     updated_at: Ms,
-    fronts: f64, // that share it: the more there are the less each sees, so one fill counts more
+    fronts: f64, // that share it; the more there are, the fewer fills each has, so each counts more
 }
 
 impl Window {
@@ -345,13 +345,13 @@
     }
 }
 
-/// Statistics of this front on a class.
+/// This front's statistics about a class.
 #[derive(Clone, Debug)]
 struct ClassStats {
     ratio: f64,         // usual latency by (work + OVERHEAD_MS)
     spread: f64,        // mean deviation of that ratio
     work: f64,          // mean work of a request
-    samples: f64,       // requests in that mean, including an assumed few
+    samples: f64,       // number of requests in that mean, including 3 assumed ones
     answered: [f64; 2], // answered shares: all requests, large ones (over the mean work)
     credit: f64,        // 0 to 1: how far a full link takes large requests in preference to others
 }
@@ -394,7 +394,7 @@
         self.origin_window = Window { limit: share, initial: share, updated_at: now, ..self.origin_window };
     }
 
-    /// Replaces earned retries by lent ones. Returns what remained of the last loan.
+    /// Replaces the remaining retries by ones lent from the budget of all fronts. Returns how many remained.
     pub fn lend_retries(&mut self, retries: f64) -> f64 {
         self.lent = true;
         std::mem::replace(&mut self.retries, retries)
@@ -445,7 +445,7 @@
             let Some(role) = self.role(listing) else { continue };
             let member = self.members.entry(listing.member).or_insert_with(|| Member::new(*listing, role));
             if member.listing.started_at != listing.started_at {
-                member.health = Health::default(); // evidence on the previous process does not apply
+                member.health = Health::default(); // evidence about the previous process does not apply
             }
             (member.listing, member.role, member.removed_at) = (*listing, role, now);
         }
@@ -547,7 +547,7 @@
         let Some(window) = valid(self.cfg.overload_window) else { return true };
         let history_known = now - self.started_at >= window; // work sent before a restart is unknown
         let budget = (base + (1.0 - base) * warm) * capacity * factor * window * COLD_SHARE_USED / fronts;
-        // One of many fronts may have less than one request: then it draws a chance of one for two windows.
+        // A share below one request permits one with that probability, drawn for two windows.
         let draw = self.draw(id, now / window / 2.0);
         let Some(member) = self.members.get_mut(&id) else { return false };
         while member.cold_sent.front().is_some_and(|(at, _)| now - at > window) {
@@ -901,7 +901,7 @@
             Outcome::Cancelled | Outcome::Moot | Outcome::Miss => {}
             _ if ambiguous => {} // the cause shows when the request is tried elsewhere
             _ => {
-                // A note may name the failing side; a full member is busy, not broken.
+                // The note may show that the source failed. A full member is busy, not broken: half a fault.
                 let named = matches!(note, Note::SourceRefused | Note::SourceLost | Note::OriginFailed);
                 let source = if note == Note::NoFillPlace { cache } else { source };
                 let busy = outcome == Outcome::Full && note != Note::SourceLost;
@@ -918,7 +918,7 @@
         }
     }
 
-    /// An overdue attempt is evidence, and the time to send a second copy or to cancel it.
+    /// Counts an overdue attempt as half a failure, and may send a second copy or cancel it.
     fn on_timer(&mut self, now: Ms, token: Token, out: &mut Vec<Action>) {
         let (id, index) = (RequestId((token.0 >> 8) as u32), (token.0 & 255) as usize);
         let Some(open) = self.open.get(&id).filter(|o| !o.done && !o.streaming) else { return };
@@ -968,7 +968,7 @@
     }
 }
 
-/// Decaying evidence on one member.
+/// Decaying counts of a member's failures and successes, and its ejection.
 #[derive(Debug, Default)]
 struct Health {
     failures: f64,
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -212,7 +212,7 @@
     assert!((610..=800).contains(&sends), "{sends} attempts for 400 such requests and 200 others");
     let next = first_attempt(&front.request(1000, 7)).unwrap();
     assert!(next.source != next.cache, "no guard: a miss is filled at once");
-    // A broken connection is no evidence on the origin either.
+    // Broken connections are not evidence against the origin either.
     (2000..2060).for_each(|id| {
         front.request(id, u64::from(id));
         (0..7).for_each(|attempt| drop(front.reply(id, attempt, Outcome::Reset)));
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -145,7 +145,7 @@
     }
 }
 
-/// Times of the fills that all fronts together send to the only parent, a cold one, for 4000 misses in 4 s.
+/// Times at which all fronts together send fills to the only parent, which is cold, for 4000 misses in 4 s.
 fn fills_of_cold_parent(count: u32, settings: &Settings) -> Vec<Ms> {
     let start = 100_000.0;
     let cold = Listing { weight: 60.0, started_at: Some(start), ..parent(101) };
--- a/tests/ring.rs
+++ b/tests/ring.rs
@@ -103,7 +103,8 @@
         let starts = Ring::build(&members(&vec![1.0; n])).starts;
         let end = |f: usize| starts.get(f + 1).copied().unwrap_or(1.0);
         assert!(starts[0] == 0.0 && starts.windows(2).all(|w| w[0] < w[1]), "sorted from 0");
-        // Halving gives multiples of 1/4096 at the finest; all other starts are frame borders, one per member.
+        // Starts made by halving are multiples of 1/4096, as there are at most 12 halvings. All other starts are frame
+        // borders, one per member.
         let borders: Vec<f64> = starts.iter().copied().filter(|s| (s * 4096.0).fract() != 0.0).collect();
         assert_eq!(borders.len(), n);
         for (f, start) in starts.iter().enumerate() {
