--- a/front/src/client/bus.rs
+++ b/front/src/client/bus.rs
@@ -16,7 +16,7 @@
 use crate::memory::counters::Counters;
 use crate::memory::members::member_id;
 use crate::process::clock;
-use crate::process::part;
+use crate::process::jitter_fraction;
 use crate::wire::bus::{self, Batch, Server, State};
 use crate::wire::http::{self, Body};
 
@@ -119,7 +119,7 @@
 
 /// Returns the randomised delay of a front after this number of failures.
 fn jittered_delay(backoff: Duration, seed: u64, failures: u64) -> Duration {
-    backoff.mul_f64(MIN_JITTER + (MAX_JITTER - MIN_JITTER) * part(seed, failures))
+    backoff.mul_f64(MIN_JITTER + (MAX_JITTER - MIN_JITTER) * jitter_fraction(seed, failures))
 }
 
 impl BusFollower {
@@ -135,7 +135,7 @@
         for (number, event) in new_events {
             let mut input = self.names.input(&event);
             if let Input::MembersListed { event, .. } = &mut input {
-                self.start_times.convert(event, clock::on_steady_line);
+                self.start_times.convert(event, clock::to_steady_ms);
             }
             if self.inputs.send(input).is_err() {
                 return Ok(false);
--- a/front/src/edge/cells.rs
+++ b/front/src/edge/cells.rs
@@ -1,4 +1,5 @@
-//! The cells' file (`deploy/cells.toml`): cells, their boxes, shops by name, limits. Checked whole.
+//! The cells file (`deploy/cells.toml`): cells, their boxes (cache nodes), shops by name, and limits. It is valid or
+//! rejected as a whole.
 
 use std::collections::BTreeSet;
 use std::path::Path;
@@ -8,12 +9,14 @@
 
 use crate::memory::members::member_id;
 
+/// Default path of the file.
 pub const FILE: &str = "deploy/cells.toml";
-const FILE_BYTES: u64 = 16 << 20;
-/// Different shards at most: with 64 cells there is room for all of their routers.
-const SHARDS: usize = 60;
+/// Maximum size of the file.
+const MAX_FILE_BYTES: u64 = 16 << 20;
+/// Maximum number of different shards: together with 64 cells, each still gets its own router.
+const MAX_SHARDS: usize = 60;
 
-/// The file. Empty, there are no cells: one list, one budget, as without it.
+/// The contents of the file. If it is empty there are no cells: one list and one budget, as without the file.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct CellsConfig {
@@ -22,17 +25,19 @@
     pub shop: Vec<ShopEntry>,
 }
 
+/// A cell and the cache nodes that belong to it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CellEntry {
     pub name: String,
-    /// Names of cache nodes as the bus has them, or their addresses.
+    /// Names of cache nodes as on the bus, or their addresses.
     pub boxes: Vec<String>,
     #[serde(default = "one")]
     pub weight: f64,
-    /// Its part of what parents and origin bear; equal parts where no cell says.
+    /// Its fraction of the fills that parents and origin can serve; the fractions are equal if no cell sets one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub source_share: Option<f64>,
+    /// Whether other cells serve its shops, because it is being emptied.
     #[serde(default)]
     pub evacuate: bool,
 }
@@ -41,21 +46,24 @@
     1.0
 }
 
+/// A shop, its cell and its own limits.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ShopEntry {
     pub name: String,
     pub cell: String,
+    /// Requests per second; by default the general limit.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub rate: Option<f64>,
-    /// So many of the cell's boxes, a subset of its own.
+    /// Size of its own subset of the cell's boxes; by default it uses all of them.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub shard: Option<usize>,
-    /// What serving it is worth against others, where a cell is emptied and there is no room for all.
+    /// Its value relative to other shops, when a cell is evacuated and the others cannot take all of its shops.
     #[serde(default = "one")]
     pub worth: f64,
 }
 
+/// The limits of cells and shops, see [`Limits`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LimitsEntry {
@@ -96,11 +104,15 @@
 }
 
 impl CellsConfig {
+    /// Reads and checks the file.
+    ///
+    /// # Errors
+    /// If it can't be read or is invalid: the path and the cause.
     pub fn load(path: &Path) -> Result<CellsConfig, String> {
         let failed = |e: &dyn std::fmt::Display| format!("{}: {e}", path.display());
         let size = std::fs::metadata(path).map_err(|e| failed(&e))?.len();
-        if size > FILE_BYTES {
-            return Err(failed(&format!("{size} bytes: {FILE_BYTES} at most")));
+        if size > MAX_FILE_BYTES {
+            return Err(failed(&format!("{size} bytes: {MAX_FILE_BYTES} at most")));
         }
         let text = std::fs::read_to_string(path).map_err(|e| failed(&e))?;
         let config: CellsConfig = toml::from_str(&text).map_err(|e| failed(&e))?;
@@ -108,25 +120,29 @@
         Ok(config)
     }
 
+    /// Whether there are no cells.
     pub fn is_off(&self) -> bool {
         self.cell.is_empty()
     }
 
-    /// What it means; `None` for no cells.
-    pub fn layout(&self, longest: f64) -> Result<Option<Layout>, String> {
+    /// The layout that it describes, for requests with deadlines up to `max_request_ms`; `None` without cells.
+    ///
+    /// # Errors
+    /// If it is invalid: the entry and the cause.
+    pub fn layout(&self, max_request_ms: f64) -> Result<Option<Layout>, String> {
         if self.is_off() {
             return match self.shop.first() {
                 Some(shop) => Err(format!("shop {}: there are no cells", shop.name)),
                 None => Ok(None),
             };
         }
-        let equal = 1.0 / self.cell.len() as f64;
-        let none_says = self.cell.iter().all(|c| c.source_share.is_none());
+        let equal_share = 1.0 / self.cell.len() as f64;
+        let shares_are_unset = self.cell.iter().all(|c| c.source_share.is_none());
         let cells = self.cell.iter().map(|c| Cell {
             name: c.name.clone(),
             boxes: c.boxes.clone(),
             weight: c.weight,
-            source_share: if none_says { equal } else { c.source_share.unwrap_or(0.0) },
+            source_share: if shares_are_unset { equal_share } else { c.source_share.unwrap_or(0.0) },
             evacuate: c.evacuate,
         });
         let mut rules = Vec::new();
@@ -154,21 +170,21 @@
             recall_ms: l.recall_ms,
             places: l.places,
             warm_step_ms: l.warm_step_ms,
-            max_request_ms: longest.max(1.0),
+            max_request_ms: max_request_ms.max(1.0),
             ..Limits::default()
         };
         let layout = Layout::new(cells.collect(), rules, limits).map_err(|e| e.to_string())?;
-        // Each different shard needs a router of its own.
+        // Each different shard needs its own router.
         let sharded = |shop: &ShopId| layout.rule(*shop).is_some_and(|r| r.shard.is_some());
         let shards: BTreeSet<_> =
             layout.shops().filter(sharded).map(|s| (layout.cell_of(s), layout.shard_of(s))).collect();
         match shards.len() {
-            0..=SHARDS => Ok(Some(layout)),
-            many => Err(format!("{many} different shards: {SHARDS} at most")),
+            0..=MAX_SHARDS => Ok(Some(layout)),
+            count => Err(format!("{count} different shards: {MAX_SHARDS} at most")),
         }
     }
 
-    /// The same for the same contents.
+    /// A hash of the contents.
     pub fn fingerprint(&self) -> String {
         format!("{:016x}", member_id(&serde_json::to_string(self).unwrap_or_default()).0)
     }
@@ -178,9 +194,9 @@
 mod tests {
     use super::*;
 
-    /// More shards than there may be routers: refused before anything changes.
+    /// A file with more shards than there may be routers is rejected before anything changes.
     #[test]
-    fn shards_are_bounded() {
+    fn more_than_the_maximum_number_of_shards_is_rejected() {
         let file = |shops: usize| {
             let boxes: Vec<String> = (0..200).map(|n| format!("\"box-{n}\"")).collect();
             let mut text = format!("[[cell]]\nname = \"a\"\nboxes = [{}]\n", boxes.join(", "));
@@ -189,7 +205,7 @@
             }
             toml::from_str::<CellsConfig>(&text).unwrap().layout(1000.0)
         };
-        assert!(file(SHARDS).is_ok());
-        assert!(file(SHARDS + 1).unwrap_err().contains("61 different shards"));
+        assert!(file(MAX_SHARDS).is_ok());
+        assert!(file(MAX_SHARDS + 1).unwrap_err().contains("61 different shards"));
     }
 }
--- a/front/src/edge/config.rs
+++ b/front/src/edge/config.rs
@@ -1,4 +1,5 @@
-//! The second front's file, checked whole: each error names the entry and the cause.
+//! The second front's file (`deploy/edge.toml`). It is valid or rejected as a whole; each error names the entry and the
+//! cause.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{IpAddr, SocketAddr};
@@ -15,45 +16,52 @@
 
 use crate::memory::members::member_id;
 
+/// Default path of the file.
 pub const FILE: &str = "deploy/edge.toml";
-/// A client may use an answer for so long at most; it never names a cache node, so an old one does no harm.
-const TTL_S: u32 = 1;
-/// Resolvers and names that are followed.
-const RESOLVERS: usize = 8;
-const UPSTREAMS: usize = 64;
-const FILE_BYTES: u64 = 4 << 20;
-const UDP_THREADS: usize = 1;
-
-/// The file. Empty, it switches the front off.
+/// Default and maximum time that a client may cache an answer, in seconds. Answers never name a cache node, so a stale
+/// one does no harm.
+const MAX_TTL_S: u32 = 1;
+/// Maximum number of resolvers.
+const MAX_RESOLVERS: usize = 8;
+/// Maximum number of upstream names.
+const MAX_UPSTREAMS: usize = 64;
+/// Maximum size of the file.
+const MAX_FILE_BYTES: u64 = 4 << 20;
+/// Default number of threads that answer over UDP, for each address.
+const DEFAULT_UDP_THREADS: usize = 1;
+
+/// The contents of the file. If it is empty, the second front is off.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct EdgeConfig {
     pub zone: String,
-    /// Seconds; 1 at most.
+    /// Time to live of answers in seconds; at most 1.
     pub ttl_s: Option<u32>,
-    /// Of the zone; by the clock where it is not there. It may only rise.
+    /// The zone's serial, derived from the clock if absent. It may only increase.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub serial: Option<u32>,
-    /// Where the serial is kept over a restart.
+    /// File that keeps the serial across restarts.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub serial_file: Option<PathBuf>,
-    /// Where upstream names are asked for; `resolvers` where there are several.
+    /// The resolver of upstream names; `resolvers` if there are several.
     pub resolver: Option<SocketAddr>,
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub resolvers: Vec<SocketAddr>,
-    /// 32 hex digits, shared by all servers of the zone; a second line is the one before or the one to come.
+    /// File with the cookie secret, 32 hex digits, shared by all servers of the zone. A second line is the previous or
+    /// the next secret.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub cookie_secret_file: Option<PathBuf>,
-    /// A secret made at the start is rolled over so often.
+    /// Rollover interval of a cookie secret that was generated at the start, in seconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub cookie_roll_s: Option<u32>,
-    /// Keys for transfers, a line each of name, algorithm and secret; readable by its owner only.
+    /// File with the keys for zone transfers, each line with name, algorithm and secret. Only its owner may be able
+    /// to read it.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub key_file: Option<PathBuf>,
-    /// Threads that answer over UDP, for each address; each has its part of the limits.
+    /// Number of threads that answer over UDP, for each address. Each of them enforces its share of the limits.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub udp_threads: Option<usize>,
-    /// For so long after a change of the fronts a key that had another owner is not taken.
+    /// Time after a change of the fronts during which a key is not taken over from its former owner, in seconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub hand_over_s: Option<f64>,
     #[serde(skip_serializing_if = "is_usual")]
@@ -77,21 +85,22 @@
     pub upstream: Vec<Upstream>,
 }
 
+/// Whether the value is the default, which is not written to the file.
 fn is_usual<T: Default + PartialEq>(value: &T) -> bool {
     *value == T::default()
 }
 
-/// Whether a front takes new clients.
+/// Whether a front accepts new clients.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FrontState {
     #[default]
     Serving,
-    /// No answer names it; those who come all the same are served for `cling_s`, then refused.
+    /// No answer names it; clients that still connect are served for `cling_s`, then rejected.
     Draining,
 }
 
-/// One process of ours and where it listens.
+/// One front and the addresses it listens on.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FrontEntry {
@@ -102,12 +111,12 @@
     pub http: Vec<SocketAddr>,
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub branch: String,
-    /// Its share of its branch's clients against the other fronts'.
+    /// Its share of its branch's clients, relative to the weights of the other fronts.
     #[serde(default = "one", skip_serializing_if = "is_one")]
     pub weight: f64,
     #[serde(default, skip_serializing_if = "is_usual")]
     pub state: FrontState,
-    /// Seconds in which a draining front serves those who cling to old answers.
+    /// Time for which a draining front serves clients that still use old answers, in seconds.
     #[serde(default = "cling", skip_serializing_if = "is_cling")]
     pub cling_s: f64,
 }
@@ -126,32 +135,37 @@
     }
 }
 
+/// The default weight.
 fn one() -> f64 {
     1.0
 }
 
+/// Whether a weight is the default.
 fn is_one(value: &f64) -> bool {
     *value == 1.0
 }
 
-/// Resolvers that ignore TTLs have been seen to hold answers for 30 s.
+/// The default of `cling_s`: resolvers that ignore TTLs have been observed to cache answers for 30 s.
 fn cling() -> f64 {
     30.0
 }
 
+/// Whether `cling_s` has its default.
 fn is_cling(value: &f64) -> bool {
     *value == cling()
 }
 
+/// A branch of the edge.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BranchEntry {
     pub name: String,
-    /// Where its clients go that its own fronts can't serve.
+    /// The branch that takes the clients that its own fronts can't serve.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub overflow: Option<String>,
 }
 
+/// The branch that serves the clients of a subnet.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SubnetEntry {
@@ -159,18 +173,18 @@
     pub branch: String,
 }
 
-/// A name of the zone, `@` for the zone itself, and the addresses of ours that it has.
+/// A name of the zone, `@` for the zone itself, and its addresses among those of the fronts.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NameEntry {
     pub name: String,
     pub addresses: Vec<IpAddr>,
-    /// Addresses of a kind in an answer at most; all where it is not there.
+    /// Maximum number of addresses of one kind in an answer; all if absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub answers: Option<usize>,
 }
 
-/// How an upstream name leads to cache nodes.
+/// The type of DNS records that lead from an upstream name to cache nodes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Records {
@@ -180,7 +194,7 @@
     Https,
 }
 
-/// A name whose addresses are cache nodes of this kind, in this zone of the settings.
+/// A name whose addresses are cache nodes of this kind, in this zone of the settings file.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Upstream {
@@ -194,7 +208,10 @@
 }
 
 impl Upstream {
-    /// What the resolver client follows.
+    /// The source that the resolver client follows for this name.
+    ///
+    /// # Errors
+    /// If the name is invalid.
     pub fn source(&self) -> Result<stub::Source, String> {
         let kind = match self.records {
             Records::Address => stub::Kind::Address,
@@ -205,18 +222,18 @@
     }
 }
 
-/// Who may take the zone over, and who is told of changes.
+/// Who may transfer the zone, and who is notified of changes.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct TransferEntry {
-    /// Names of keys in the key file.
+    /// Names of the keys that allow a transfer; they are in the key file.
     pub keys: Vec<String>,
     pub notify: Vec<SocketAddr>,
-    /// The key that notices are signed with.
+    /// Name of the key that notifications are signed with.
     pub notify_key: Option<String>,
 }
 
-/// Answers a second for one client net, `/24` or `/56`; 0 is no limit.
+/// Limits on answers per second for one client network, `/24` or `/56`; 0 is no limit.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RateLimitEntry {
@@ -238,13 +255,14 @@
 }
 
 impl RateLimitEntry {
+    /// The limits for the rate limiter; all rates are 0 if it is switched off.
     pub fn limits(&self) -> Limits {
-        let by = |figure: f64| if self.on { figure } else { 0.0 };
+        let if_on = |rate: f64| if self.on { rate } else { 0.0 };
         Limits {
-            answers: by(self.answers),
-            nxdomains: by(self.nxdomains),
-            errors: by(self.errors),
-            all: by(self.all),
+            answers: if_on(self.answers),
+            nxdomains: if_on(self.nxdomains),
+            errors: if_on(self.errors),
+            all: if_on(self.all),
             burst_s: self.burst_s,
             slip: self.slip,
             places: self.places,
@@ -252,7 +270,7 @@
     }
 }
 
-/// Connections of clients that ask over TCP.
+/// Limits on connections of DNS clients over TCP.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct TcpEntry {
@@ -271,6 +289,7 @@
 }
 
 impl TcpEntry {
+    /// The limits for the TCP server.
     pub fn limits(&self) -> tcp::Limits {
         tcp::Limits {
             connections: self.connections,
@@ -293,10 +312,11 @@
     }
 }
 
+/// How clients are distributed over the fronts, see [`Policy`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct SteeringEntry {
-    /// The other fronts are asked so often how they are; 0: they are not.
+    /// Interval of the health checks of the other fronts, in milliseconds; 0 switches them off.
     pub watch_ms: f64,
     pub settle_ms: f64,
     pub silence_ms: f64,
@@ -327,7 +347,7 @@
     fn policy(&self) -> Policy {
         Policy {
             settle: self.settle_ms,
-            // Who is not asked is not missed.
+            // Without health checks a silent front must not count as failed.
             silence: if self.watch_ms > 0.0 { self.silence_ms } else { 1e15 },
             shed_from: self.shed_from,
             headroom: self.headroom,
@@ -337,16 +357,20 @@
     }
 }
 
-/// The file's meaning, all of it checked.
+/// The checked contents of the file, in the form that the second front works with.
 #[derive(Clone, Debug)]
-pub struct Meaning {
+pub struct CompiledConfig {
     pub source: ZoneSource,
     pub layout: Layout,
-    /// Names all fronts: where a client is sent that can't be served here.
+    /// The pool with the addresses of all fronts, used to redirect a client that can't be served here.
     pub all_fronts: PoolId,
 }
 
-fn each_once<T: Ord + std::fmt::Display>(what: &str, items: impl Iterator<Item = T>) -> Result<(), String> {
+/// Checks that no item occurs twice.
+fn check_unique<T: Ord + std::fmt::Display>(
+    what: &str,
+    items: impl Iterator<Item = T>,
+) -> Result<(), String> {
     let mut seen = BTreeSet::new();
     for item in items {
         if seen.contains(&item) {
@@ -358,73 +382,92 @@
 }
 
 impl EdgeConfig {
+    /// Reads and checks the file.
+    ///
+    /// # Errors
+    /// If it can't be read or is invalid: the path and the cause.
     pub fn load(path: &Path) -> Result<EdgeConfig, String> {
         let failed = |e: &dyn std::fmt::Display| format!("{}: {e}", path.display());
         let size = std::fs::metadata(path).map_err(|e| failed(&e))?.len();
-        if size > FILE_BYTES {
-            return Err(failed(&format!("{size} bytes: {FILE_BYTES} at most")));
+        if size > MAX_FILE_BYTES {
+            return Err(failed(&format!("{size} bytes: {MAX_FILE_BYTES} at most")));
         }
         let text = std::fs::read_to_string(path).map_err(|e| failed(&e))?;
         EdgeConfig::parse(&text).map_err(|why| failed(&why))
     }
 
+    /// Parses and checks the file's text.
+    ///
+    /// # Errors
+    /// If it is invalid: the entry and the cause.
     pub fn parse(text: &str) -> Result<EdgeConfig, String> {
         let config: EdgeConfig = toml::from_str(text).map_err(|e| e.to_string())?;
         config.check()?;
         Ok(config)
     }
 
+    /// Whether the second front is off.
     pub fn is_off(&self) -> bool {
         *self == EdgeConfig::default()
     }
 
-    /// Everything about it that can be checked without the outside.
+    /// Checks everything that depends on the file alone.
+    ///
+    /// # Errors
+    /// If it is invalid: the entry and the cause.
     pub fn check(&self) -> Result<(), String> {
         if self.is_off() {
             return Ok(());
         }
-        let meaning = self.meaning()?;
+        let meaning = self.compile()?;
         Zone::compile(&meaning.source, self.serial.unwrap_or(1)).map(drop)
     }
 
+    /// All resolvers of upstream names.
     pub fn resolvers(&self) -> Vec<SocketAddr> {
         self.resolver.iter().chain(&self.resolvers).copied().collect()
     }
 
+    /// The number of threads that answer over UDP, for each address.
     pub fn udp_threads(&self) -> usize {
-        self.udp_threads.unwrap_or(UDP_THREADS)
+        self.udp_threads.unwrap_or(DEFAULT_UDP_THREADS)
     }
 
-    /// What the file means; where it means nothing, the entry and the cause.
-    pub fn meaning(&self) -> Result<Meaning, String> {
-        let ttl = self.ttl_s.unwrap_or(TTL_S);
-        if ttl > TTL_S {
-            return Err(format!("ttl_s is {ttl}: {TTL_S} at most"));
+    /// Checks the contents and converts them.
+    ///
+    /// # Errors
+    /// If they are invalid: the entry and the cause.
+    pub fn compile(&self) -> Result<CompiledConfig, String> {
+        let ttl = self.ttl_s.unwrap_or(MAX_TTL_S);
+        if ttl > MAX_TTL_S {
+            return Err(format!("ttl_s is {ttl}: {MAX_TTL_S} at most"));
         }
         if self.zone.is_empty() {
             return Err("zone is missing".into());
         }
-        let listens = || self.front.iter().flat_map(|f| f.http.iter().chain(&f.dns));
+        let listen_addresses = || self.front.iter().flat_map(|f| f.http.iter().chain(&f.dns));
         let resolvers = self.resolvers();
-        let outside = resolvers.iter().chain(&self.transfer.notify);
-        if let Some(ip) = listens().chain(outside).map(SocketAddr::ip).find(|ip| !ip.is_loopback()) {
+        let remote_addresses = resolvers.iter().chain(&self.transfer.notify);
+        if let Some(ip) =
+            listen_addresses().chain(remote_addresses).map(SocketAddr::ip).find(|ip| !ip.is_loopback())
+        {
             return Err(format!("{ip} is no loopback address"));
         }
-        each_once("a front's name", self.front.iter().map(|f| &f.name))?;
-        each_once("an address", self.front.iter().flat_map(|f| &f.http).filter(|a| a.port() != 0))?;
-        each_once("a name", self.name.iter().map(|n| n.name.to_ascii_lowercase()))?;
-        each_once("a branch", self.branch.iter().map(|b| &b.name))?;
-        each_once("a resolver", resolvers.iter())?;
-        each_once("an upstream name", self.upstream.iter().map(|u| u.name.to_ascii_lowercase()))?;
-        if resolvers.len() > RESOLVERS || self.upstream.len() > UPSTREAMS {
-            return Err(format!("{RESOLVERS} resolvers and {UPSTREAMS} upstream names at most"));
+        check_unique("a front's name", self.front.iter().map(|f| &f.name))?;
+        check_unique("an address", self.front.iter().flat_map(|f| &f.http).filter(|a| a.port() != 0))?;
+        check_unique("a name", self.name.iter().map(|n| n.name.to_ascii_lowercase()))?;
+        check_unique("a branch", self.branch.iter().map(|b| &b.name))?;
+        check_unique("a resolver", resolvers.iter())?;
+        check_unique("an upstream name", self.upstream.iter().map(|u| u.name.to_ascii_lowercase()))?;
+        if resolvers.len() > MAX_RESOLVERS || self.upstream.len() > MAX_UPSTREAMS {
+            return Err(format!("{MAX_RESOLVERS} resolvers and {MAX_UPSTREAMS} upstream names at most"));
         }
         for upstream in &self.upstream {
-            let told = |e| format!("upstream {}: {e}", upstream.name);
-            upstream.source().map_err(told)?;
+            let describe = |e| format!("upstream {}: {e}", upstream.name);
+            upstream.source().map_err(describe)?;
             let usable = upstream.weight.is_finite() && upstream.weight > 0.0;
             if !usable || upstream.port == 0 {
-                return Err(told("weight and port must be above 0".into()));
+                return Err(describe("weight and port must be above 0".into()));
             }
         }
         if !self.upstream.is_empty() && resolvers.is_empty() {
@@ -453,9 +496,9 @@
             }
         }
         let layout = self.layout()?;
-        let steered = self.name.iter().enumerate().map(|(place, entry)| Steered {
+        let steered = self.name.iter().enumerate().map(|(index, entry)| Steered {
             name: entry.name.clone(),
-            pool: PoolId(place as u16),
+            pool: PoolId(index as u16),
             addresses: entry.addresses.clone(),
         });
         let source = ZoneSource {
@@ -465,31 +508,32 @@
             steered: steered.collect(),
             records: self.record.clone(),
         };
-        Ok(Meaning { source, layout, all_fronts: PoolId(self.name.len() as u16) })
+        Ok(CompiledConfig { source, layout, all_fronts: PoolId(self.name.len() as u16) })
     }
 
+    /// The fronts, branches, subnets and pools for steering.
     fn layout(&self) -> Result<Layout, String> {
         let mut branches: Vec<Branch> = Vec::new();
-        let place = |name: &str| self.branch.iter().position(|b| b.name == name).map(|p| BranchId(p as u16));
+        let branch_id =
+            |name: &str| self.branch.iter().position(|b| b.name == name).map(|p| BranchId(p as u16));
         for entry in &self.branch {
             let overflow = match &entry.overflow {
                 None => None,
-                Some(to) => {
-                    Some(place(to).ok_or_else(|| format!("branch {}: there is no branch {to}", entry.name))?)
-                }
+                Some(to) => Some(
+                    branch_id(to).ok_or_else(|| format!("branch {}: there is no branch {to}", entry.name))?,
+                ),
             };
             branches.push(Branch { name: entry.name.clone(), overflow });
         }
-        // Fronts without a branch have one of their own, which no subnet leads to.
-        let nowhere = BranchId(branches.len() as u16);
+        // Fronts without a branch share an extra one that no subnet leads to.
+        let unassigned_branch = BranchId(branches.len() as u16);
         branches.push(Branch { name: String::new(), overflow: None });
         let mut fronts = Vec::new();
         for entry in &self.front {
             let branch = match entry.branch.as_str() {
-                "" => nowhere,
-                name => {
-                    place(name).ok_or_else(|| format!("front {}: there is no branch {name}", entry.name))?
-                }
+                "" => unassigned_branch,
+                name => branch_id(name)
+                    .ok_or_else(|| format!("front {}: there is no branch {name}", entry.name))?,
             };
             if !(entry.cling_s.is_finite() && (0.0..=3600.0).contains(&entry.cling_s)) {
                 return Err(format!("front {}: cling_s is 0 to 3600", entry.name));
@@ -499,34 +543,34 @@
         let mut subnets = Vec::new();
         for entry in &self.subnet {
             let net: Net = entry.net.parse().map_err(|e| format!("subnet {e}"))?;
-            let branch = place(&entry.branch);
+            let branch = branch_id(&entry.branch);
             let branch =
                 branch.ok_or_else(|| format!("subnet {net}: there is no branch {}", entry.branch))?;
             subnets.push(Subnet { net, branch });
         }
-        // An address that several fronts listen at goes with none of them.
+        // An address that several fronts listen on has no owner.
         let mut owners: BTreeMap<IpAddr, Option<FrontId>> = BTreeMap::new();
-        for (place, front) in self.front.iter().enumerate() {
+        for (index, front) in self.front.iter().enumerate() {
             for ip in front.http.iter().map(SocketAddr::ip) {
-                let id = Some(FrontId(place as u16));
+                let id = Some(FrontId(index as u16));
                 owners.entry(ip).and_modify(|o| *o = if *o == id { id } else { None }).or_insert(id);
             }
         }
         let mut pools = Vec::new();
         for entry in &self.name {
-            let told = |e: String| format!("name {}: {e}", entry.name);
+            let describe = |e: String| format!("name {}: {e}", entry.name);
             let mut members = Vec::new();
             for ip in &entry.addresses {
                 let owner =
-                    owners.get(ip).ok_or_else(|| told(format!("{ip} is none of our http addresses")))?;
+                    owners.get(ip).ok_or_else(|| describe(format!("{ip} is none of our http addresses")))?;
                 members.push((*ip, *owner));
             }
             let answers = entry.answers.unwrap_or(elmtide_steering::MAX_ANSWER_ADDRESSES);
             let pool = Pool { members, answers };
             if answers == 0 || answers > elmtide_steering::MAX_ANSWER_ADDRESSES {
-                return Err(told(format!("answers is 1 to {}", elmtide_steering::MAX_ANSWER_ADDRESSES)));
+                return Err(describe(format!("answers is 1 to {}", elmtide_steering::MAX_ANSWER_ADDRESSES)));
             }
-            each_once("an address", entry.addresses.iter()).map_err(told)?;
+            check_unique("an address", entry.addresses.iter()).map_err(describe)?;
             pools.push(pool);
         }
         let all = owners.iter().take(256).map(|(ip, front)| (*ip, *front)).collect();
@@ -534,34 +578,34 @@
         Layout::new(fronts, branches, subnets, pools, self.steering.policy()).map_err(|e| e.to_string())
     }
 
-    /// The same for the same contents, whoever computes it.
+    /// A hash of the contents, the same on all fronts.
     pub fn fingerprint(&self) -> String {
         let text = serde_json::to_string(self).unwrap_or_default();
         format!("{:016x}", member_id(&text).0)
     }
 
-    /// Of what the zone is made of.
+    /// A hash of the settings that the zone is built from.
     pub fn zone_fingerprint(&self) -> String {
         let zone = (&self.zone, &self.ttl_s, &self.soa, &self.name, &self.record);
         format!("{:016x}", member_id(&serde_json::to_string(&zone).unwrap_or_default()).0)
     }
 
-    /// The one process that runs a key's request: the highest hash of name and key among all that are listed and
-    /// do not drain.
+    /// The front that runs the requests of an idempotency key: the one with the highest hash of name and key among all
+    /// listed fronts that are not draining.
     pub fn owner(&self, key: &str) -> Option<&FrontEntry> {
         self.owner_among(key, |_| true)
     }
 
-    /// As [`EdgeConfig::owner`], among those that are there; where none of them is, among all.
-    pub fn owner_among(&self, key: &str, there: impl Fn(&FrontEntry) -> bool) -> Option<&FrontEntry> {
+    /// Like [`EdgeConfig::owner`], among the available fronts; among all fronts if none is available.
+    pub fn owner_among(&self, key: &str, is_available: impl Fn(&FrontEntry) -> bool) -> Option<&FrontEntry> {
         let rank = |f: &&FrontEntry| member_id(&format!("{key}\n{}", f.name));
-        let stays = |f: &&FrontEntry| !f.http.is_empty() && f.state == FrontState::Serving;
-        let any = self.front.iter().any(|f| there(f) && !f.http.is_empty());
-        let there = |f: &&FrontEntry| !any || there(f);
-        // Where all drain somebody still has to be asked.
-        let some = self.front.iter().any(|f| stays(&f) && there(&f));
-        let fit = |f: &&FrontEntry| if some { stays(f) } else { !f.http.is_empty() };
-        self.front.iter().filter(there).filter(fit).max_by_key(rank)
+        let is_serving = |f: &&FrontEntry| !f.http.is_empty() && f.state == FrontState::Serving;
+        let any_available = self.front.iter().any(|f| is_available(f) && !f.http.is_empty());
+        let is_available = |f: &&FrontEntry| !any_available || is_available(f);
+        // If all fronts drain, one of them still has to own the key.
+        let any_serving = self.front.iter().any(|f| is_serving(&f) && is_available(&f));
+        let is_eligible = |f: &&FrontEntry| if any_serving { is_serving(f) } else { !f.http.is_empty() };
+        self.front.iter().filter(is_available).filter(is_eligible).max_by_key(rank)
     }
 }
 
@@ -588,11 +632,11 @@
         weight = 4.0
     "#;
 
-    /// A file of the version before is valid and means the same.
+    /// A file of the previous version stays valid, with the same meaning.
     #[test]
-    fn old_files_are_valid() {
+    fn files_of_the_previous_version_are_valid() {
         let config = EdgeConfig::parse(OLD).unwrap();
-        let meaning = config.meaning().unwrap();
+        let meaning = config.compile().unwrap();
         assert_eq!(meaning.layout.pools()[0].members.len(), 2);
         assert_eq!(config.resolvers().len(), 1);
     }
@@ -640,12 +684,12 @@
     #[case("[[front]]\nname = \"n2\"\nweight = 0.0", "front n2: weight must be above 0")]
     #[case("[[front]]\nname = \"n2\"\nbranch = \"b\"", "front n2: there is no branch b")]
     #[case("[[front]]\nname = \"n2\"\ncling_s = inf", "front n2: cling_s is 0 to 3600")]
-    fn errors_name_entry_and_cause(#[case] entry: &str, #[case] told: &str) {
+    fn errors_name_the_entry_and_the_cause(#[case] entry: &str, #[case] expected: &str) {
         let why = EdgeConfig::parse(&format!("{OLD}\n{entry}\n")).unwrap_err();
-        assert!(why.contains(told), "{why}");
+        assert!(why.contains(expected), "{why}");
     }
 
-    /// Draining fronts own no keys, unless all drain.
+    /// Draining fronts own no keys, unless all fronts drain.
     #[test]
     fn owners_move_off_draining_fronts() {
         let text = OLD.replace("[[name]]", "[[front]]\nname = \"n2\"\nhttp = [\"127.0.0.3:1\"]\n[[name]]");
--- a/front/src/edge/in_force.rs
+++ b/front/src/edge/in_force.rs
@@ -1,4 +1,5 @@
-//! What is in force: one value, replaced whole, that readers take a share of and keep for one request.
+//! The state in force: one immutable value that is replaced atomically. Readers take a reference and keep it for one
+//! request.
 
 use std::net::{IpAddr, SocketAddr};
 use std::sync::Arc;
@@ -12,18 +13,19 @@
 
 use crate::edge::config::{EdgeConfig, FrontEntry};
 
-/// Who runs a key's request.
+/// The front that runs the requests of an idempotency key.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Owner {
     Ours,
     Other(FrontEntry),
-    /// Ours from this moment on; until then the one before may still be running it.
+    /// This front from this moment on; until then the former owner may still be running a request of the key.
     NotYet(Ms),
 }
 
 impl Owner {
-    /// By sites, and by the file as it was before: where either says that a key is left alone it is, until the later moment.
-    pub fn or_later(self, by_file: Owner) -> Owner {
+    /// Combines the owner by sites (`self`) with the owner by the file. If either of them requires waiting for a former
+    /// owner, so does the result, until the later moment.
+    pub fn with_later_handover(self, by_file: Owner) -> Owner {
         match (self, by_file) {
             (Owner::NotYet(one), Owner::NotYet(other)) => Owner::NotYet(one.max(other)),
             (Owner::Ours, Owner::NotYet(until)) => Owner::NotYet(until),
@@ -32,24 +34,26 @@
     }
 }
 
-/// Fronts as they were before a change, and until when a key of theirs is left alone.
+/// The configuration before a change of the fronts, and until when keys that other fronts owned in it are not taken
+/// over.
 #[derive(Clone, Debug)]
-pub struct Former {
+pub struct FormerFronts {
     pub config: Arc<EdgeConfig>,
     pub until: Ms,
 }
 
+/// The second front's configuration and everything derived from it.
 #[derive(Clone, Debug)]
 pub struct State {
     pub config: Arc<EdgeConfig>,
-    /// What the name server answers with; none while the front is off.
+    /// The data that the name server answers from; `None` while the second front is off.
     pub served: Option<Served>,
     pub limits: Limits,
     pub tcp: tcp::Limits,
     pub all_fronts: PoolId,
-    /// This front drains: those who come all the same are served until then.
-    pub clings_until: Option<Ms>,
-    pub former: Vec<Former>,
+    /// Set while this front drains: clients that still connect are served until then.
+    pub drain_grace_until: Option<Ms>,
+    pub former: Vec<FormerFronts>,
 }
 
 impl Default for State {
@@ -60,20 +64,20 @@
             limits: Limits::default(),
             tcp: tcp::Limits::default(),
             all_fronts: PoolId(0),
-            clings_until: None,
+            drain_grace_until: None,
             former: Vec::new(),
         }
     }
 }
 
 impl State {
-    /// Whether new requests are turned away, and where to, because this front has drained.
-    pub fn drained(&self, now: Ms) -> bool {
-        self.clings_until.is_some_and(|until| now > until)
+    /// Whether this front has drained, so that it rejects new requests and redirects their clients.
+    pub fn is_drained(&self, now: Ms) -> bool {
+        self.drain_grace_until.is_some_and(|until| now > until)
     }
 
-    /// Where this client is to go instead of here.
-    pub fn elsewhere(&self, client: IpAddr, own: &str) -> Option<SocketAddr> {
+    /// The address of another front that this client should use instead.
+    pub fn redirect_address(&self, client: IpAddr, own: &str) -> Option<SocketAddr> {
         let view = &self.served.as_ref()?.view;
         let client = Net::host(client);
         let chosen = [false, true].map(|v6| view.choose(self.all_fronts, client, v6));
@@ -82,14 +86,14 @@
         ips.find_map(|ip| others().find(|a| a.ip() == ip).copied())
     }
 
-    /// Who runs a key's request now.
+    /// The front that runs requests of this key now.
     pub fn owner(&self, key: &str, own: &str, now: Ms) -> Owner {
         match self.config.owner(key) {
             Some(owner) if owner.name != own => Owner::Other(owner.clone()),
             _ => {
-                let elsewhere =
-                    |f: &&Former| f.until > now && f.config.owner(key).is_some_and(|o| o.name != own);
-                match self.former.iter().find(elsewhere) {
+                let owned_by_another =
+                    |f: &&FormerFronts| f.until > now && f.config.owner(key).is_some_and(|o| o.name != own);
+                match self.former.iter().find(owned_by_another) {
                     Some(former) => Owner::NotYet(former.until),
                     None => Owner::Ours,
                 }
@@ -101,7 +105,7 @@
 /// The state in force.
 pub struct InForce(Arc<ArcSwap<State>>);
 
-/// A thread's own view of the state in force, for one that reads very often.
+/// A cached view of the state in force, for a thread that reads it very often.
 pub type Reader = arc_swap::Cache<Arc<ArcSwap<State>>, Arc<State>>;
 
 impl Default for InForce {
@@ -111,15 +115,17 @@
 }
 
 impl InForce {
+    /// The current state.
     pub fn now(&self) -> Arc<State> {
         self.0.load_full()
     }
 
+    /// Replaces the state.
     pub fn set(&self, state: State) {
         self.0.store(Arc::new(state));
     }
 
-    /// A view for one thread.
+    /// A cached view for one thread.
     pub fn reader(&self) -> Reader {
         arc_swap::Cache::new(self.0.clone())
     }
--- a/front/src/edge/mod.rs
+++ b/front/src/edge/mod.rs
@@ -1,5 +1,5 @@
-//! The second front as values: what its file says and what is in force. Both of its sides, servers and resolver
-//! client, read from here; the life cycle puts in force.
+//! Configuration and current state of the second front. Its servers and its resolver client read them from here; the
+//! `lifecycle` module puts them in force.
 
 pub mod cells;
 pub mod config;
--- a/front/src/edge/plan.rs
+++ b/front/src/edge/plan.rs
@@ -1,4 +1,4 @@
-//! A saved plan: what is to be in force, and the state it was made against.
+//! Saved plans: the configuration to put in force, and the fingerprint of the one the plan was made against.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
@@ -9,19 +9,23 @@
 use crate::edge::config::{EdgeConfig, FrontState};
 use crate::process::durable_file;
 
-pub const VERSION: u32 = 1;
+/// Format version of saved plans.
+pub const PLAN_VERSION: u32 = 1;
 
+/// A change of the configuration, ready to be applied.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
     pub version: u32,
+    /// Fingerprint of the configuration that the plan was made against.
     pub from: String,
     pub to: EdgeConfig,
-    /// The cells as well, where there is a file of them.
+    /// The change of the cells, if there is a cells file.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub cells: Option<CellsPlan>,
 }
 
+/// A change of the cells.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CellsPlan {
@@ -30,11 +34,15 @@
 }
 
 impl Plan {
+    /// Reads a plan and checks its configurations.
+    ///
+    /// # Errors
+    /// If it can't be read or is invalid: the path and the cause.
     pub fn load(path: &Path) -> Result<Plan, String> {
         let text = std::fs::read(path).map_err(|e| format!("{}: {e}", path.display()))?;
         let plan: Plan = serde_json::from_slice(&text).map_err(|e| format!("{}: {e}", path.display()))?;
-        if plan.version != VERSION {
-            return Err(format!("{}: plan of version {}, not {VERSION}", path.display(), plan.version));
+        if plan.version != PLAN_VERSION {
+            return Err(format!("{}: plan of version {}, not {PLAN_VERSION}", path.display(), plan.version));
         }
         plan.to.check().map_err(|why| format!("{}: {why}", path.display()))?;
         if let Some(cells) = &plan.cells {
@@ -43,7 +51,10 @@
         Ok(plan)
     }
 
-    /// Whole or not at all: a plan cut short by a full disk must not be applied.
+    /// Writes the plan atomically: a plan truncated by a full disk must not be applied.
+    ///
+    /// # Errors
+    /// If it can't be written: the path and the cause.
     pub fn save(&self, path: &Path) -> Result<(), String> {
         let failed = |e: std::io::Error| format!("{}: {e}", path.display());
         let text = serde_json::to_string_pretty(self).map_err(|e| e.to_string())?;
@@ -52,7 +63,7 @@
     }
 }
 
-/// The settings of a configuration, a line each.
+/// The settings of a configuration, one line each.
 fn lines(config: &EdgeConfig) -> BTreeSet<String> {
     let mut lines = BTreeSet::new();
     if config.is_off() {
@@ -85,14 +96,14 @@
     }
     lines.extend(config.branch.iter().map(|b| format!("branch {} overflow {:?}", b.name, b.overflow)));
     lines.extend(config.subnet.iter().map(|s| format!("subnet {} branch {}", s.net, s.branch)));
-    // What has many keys is shown as it is written.
-    let written = |of: &str, value: &dyn erased::Shown| format!("{of} {}", value.shown());
-    lines.extend(config.record.iter().map(|r| written("record", r)));
-    lines.insert(written("soa", &config.soa));
-    lines.insert(written("transfer", &config.transfer));
-    lines.insert(written("rate_limit", &config.rate_limit));
-    lines.insert(written("tcp", &config.tcp));
-    lines.insert(written("steering", &config.steering));
+    // Entries with many keys are shown as JSON.
+    let json_line = |entry: &str, value: &dyn json::ToJsonLine| format!("{entry} {}", value.to_json_line());
+    lines.extend(config.record.iter().map(|r| json_line("record", r)));
+    lines.insert(json_line("soa", &config.soa));
+    lines.insert(json_line("transfer", &config.transfer));
+    lines.insert(json_line("rate_limit", &config.rate_limit));
+    lines.insert(json_line("tcp", &config.tcp));
+    lines.insert(json_line("steering", &config.steering));
     let files = [
         ("serial_file", &config.serial_file),
         ("cookie_secret_file", &config.cookie_secret_file),
@@ -107,20 +118,20 @@
     lines
 }
 
-mod erased {
-    /// A value as one line.
-    pub trait Shown {
-        fn shown(&self) -> String;
+mod json {
+    /// A value that can be printed as one line of JSON.
+    pub trait ToJsonLine {
+        fn to_json_line(&self) -> String;
     }
 
-    impl<T: serde::Serialize> Shown for T {
-        fn shown(&self) -> String {
+    impl<T: serde::Serialize> ToJsonLine for T {
+        fn to_json_line(&self) -> String {
             serde_json::to_string(self).unwrap_or_default()
         }
     }
 }
 
-/// Of the cells, a line each.
+/// The settings of the cells, one line each.
 fn cell_lines(config: &CellsConfig) -> BTreeSet<String> {
     let mut lines = BTreeSet::new();
     for cell in &config.cell {
@@ -134,26 +145,28 @@
         }
     }
     for shop in &config.shop {
-        let own = format!("rate {:?} shard {:?} worth {}", shop.rate, shop.shard, shop.worth);
-        lines.insert(format!("shop {} in cell {} {own}", shop.name, shop.cell));
+        let settings = format!("rate {:?} shard {:?} worth {}", shop.rate, shop.shard, shop.worth);
+        lines.insert(format!("shop {} in cell {} {settings}", shop.name, shop.cell));
     }
     if !config.is_off() {
-        lines.insert(format!("cells' limits {}", erased::Shown::shown(&config.limits)));
+        lines.insert(format!("cells' limits {}", json::ToJsonLine::to_json_line(&config.limits)));
     }
     lines
 }
 
+/// The changed lines of the cells, `-` for removed and `+` for added ones.
 pub fn cells_difference(from: &CellsConfig, to: &CellsConfig) -> Vec<String> {
-    between(&cell_lines(from), &cell_lines(to))
+    changed_lines(&cell_lines(from), &cell_lines(to))
 }
 
-fn between(before: &BTreeSet<String>, after: &BTreeSet<String>) -> Vec<String> {
-    let goes = before.difference(after).map(|l| format!("- {l}"));
-    let comes = after.difference(before).map(|l| format!("+ {l}"));
-    goes.chain(comes).collect()
+/// The lines only in `before`, with `-`, then those only in `after`, with `+`.
+fn changed_lines(before: &BTreeSet<String>, after: &BTreeSet<String>) -> Vec<String> {
+    let removed = before.difference(after).map(|l| format!("- {l}"));
+    let added = after.difference(before).map(|l| format!("+ {l}"));
+    removed.chain(added).collect()
 }
 
-/// The difference, `-` for what goes and `+` for what comes.
+/// The changed lines of the configuration, `-` for removed and `+` for added ones.
 pub fn difference(from: &EdgeConfig, to: &EdgeConfig) -> Vec<String> {
-    between(&lines(from), &lines(to))
+    changed_lines(&lines(from), &lines(to))
 }
--- a/front/src/edge/serial.rs
+++ b/front/src/edge/serial.rs
@@ -1,4 +1,4 @@
-//! The zone's serial, which only rises (RFC 1982), over a restart too where it is kept in a file.
+//! The zone's serial, which only increases (RFC 1982); across restarts too, if it is kept in a file.
 
 use std::path::Path;
 
@@ -8,29 +8,35 @@
 use crate::edge::config::EdgeConfig;
 use crate::process::durable_file;
 
-/// A serial and the zone that had it.
+/// A serial and the fingerprint of the zone it was used for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Kept {
+pub struct StoredSerial {
     pub serial: u32,
     pub zone: String,
 }
 
-impl Kept {
-    /// What the file holds; `None` where there is none yet.
-    pub fn load(path: &Path) -> Result<Option<Kept>, String> {
+impl StoredSerial {
+    /// Reads the file; `None` if it does not exist yet.
+    ///
+    /// # Errors
+    /// If it can't be read or is invalid: the path and the cause.
+    pub fn load(path: &Path) -> Result<Option<StoredSerial>, String> {
         let text = match std::fs::read_to_string(path) {
             Ok(text) => text,
             Err(e) if e.kind() == std::io::ErrorKind::NotFound => return Ok(None),
             Err(e) => return Err(format!("{}: {e}", path.display())),
         };
-        let mut words = text.split_whitespace();
-        match (words.next().and_then(|w| w.parse().ok()), words.next(), words.next()) {
-            (Some(serial), Some(zone), None) => Ok(Some(Kept { serial, zone: zone.into() })),
+        let mut fields = text.split_whitespace();
+        match (fields.next().and_then(|w| w.parse().ok()), fields.next(), fields.next()) {
+            (Some(serial), Some(zone), None) => Ok(Some(StoredSerial { serial, zone: zone.into() })),
             _ => Err(format!("{}: it is no serial and fingerprint", path.display())),
         }
     }
 
-    /// Whole or not at all.
+    /// Writes the file atomically.
+    ///
+    /// # Errors
+    /// If it can't be written: the path and the cause.
     pub fn save(&self, path: &Path) -> Result<(), String> {
         let failed = |e: std::io::Error| format!("{}: {e}", path.display());
         let line = format!("{} {}\n", self.serial, self.zone);
@@ -39,20 +45,27 @@
     }
 }
 
-/// The serial of a configuration that comes into force after `last`.
-pub fn serial_for(config: &EdgeConfig, last: Option<&Kept>, now_s: u32) -> Result<Kept, String> {
+/// The serial of a configuration that is put in force after `last`. An unchanged zone keeps its serial.
+///
+/// # Errors
+/// If the configuration sets a serial that is not later than the last one.
+pub fn serial_for(
+    config: &EdgeConfig,
+    last: Option<&StoredSerial>,
+    now_s: u32,
+) -> Result<StoredSerial, String> {
     let zone = config.zone_fingerprint();
-    if let Some(same) = last.filter(|l| l.zone == zone && config.serial.is_none_or(|s| s == l.serial)) {
-        return Ok(same.clone());
+    if let Some(unchanged) = last.filter(|l| l.zone == zone && config.serial.is_none_or(|s| s == l.serial)) {
+        return Ok(unchanged.clone());
     }
     let last = last.map(|l| l.serial);
     let serial = match (config.serial, last) {
-        (Some(set), Some(last)) if !serial_later(set, last) => {
-            return Err(format!("serial is {set}, which is not later than {last}"));
+        (Some(configured), Some(last)) if !serial_later(configured, last) => {
+            return Err(format!("serial is {configured}, which is not later than {last}"));
         }
-        (set, last) => next_serial(last, set.unwrap_or(now_s)),
+        (configured, last) => next_serial(last, configured.unwrap_or(now_s)),
     };
-    Ok(Kept { serial, zone })
+    Ok(StoredSerial { serial, zone })
 }
 
 #[cfg(test)]
@@ -64,7 +77,7 @@
     }
 
     #[test]
-    fn it_only_rises() {
+    fn the_serial_only_increases_even_if_the_clock_is_set_back() {
         let first = serial_for(&config("a.", None), None, 1000).unwrap();
         assert_eq!(first.serial, 1000);
         assert_eq!(
@@ -72,13 +85,13 @@
             first,
             "nothing has changed"
         );
-        // The clock has been set back.
+        // The clock was set back.
         let second = serial_for(&config("b.", None), Some(&first), 10).unwrap();
         assert_eq!(second.serial, 1001);
-        let set = serial_for(&config("c.", Some(5000)), Some(&second), 10).unwrap();
-        assert_eq!(set.serial, 5000);
-        assert!(serial_for(&config("d.", Some(4000)), Some(&set), 10).is_err());
-        let last = Kept { serial: u32::MAX, zone: "e".into() };
+        let configured = serial_for(&config("c.", Some(5000)), Some(&second), 10).unwrap();
+        assert_eq!(configured.serial, 5000);
+        assert!(serial_for(&config("d.", Some(4000)), Some(&configured), 10).is_err());
+        let last = StoredSerial { serial: u32::MAX, zone: "e".into() };
         assert_eq!(
             serial_for(&config("f.", None), Some(&last), u32::MAX - 5).unwrap().serial,
             1,
@@ -87,16 +100,16 @@
     }
 
     #[test]
-    fn a_kept_serial_is_read_back_and_a_spoilt_one_is_told() {
+    fn a_saved_serial_is_read_back_and_an_invalid_file_is_an_error() {
         let folder = std::env::temp_dir().join(format!("elmtide-serial-{}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
         let path = folder.join("serial");
-        assert_eq!(Kept::load(&path), Ok(None));
-        let kept = Kept { serial: 7, zone: "ab".into() };
+        assert_eq!(StoredSerial::load(&path), Ok(None));
+        let kept = StoredSerial { serial: 7, zone: "ab".into() };
         kept.save(&path).unwrap();
-        assert_eq!(Kept::load(&path), Ok(Some(kept)));
+        assert_eq!(StoredSerial::load(&path), Ok(Some(kept)));
         std::fs::write(&path, "seven").unwrap();
-        assert!(Kept::load(&path).is_err());
+        assert!(StoredSerial::load(&path).is_err());
         std::fs::remove_dir_all(folder).unwrap();
     }
 }
--- a/front/src/engine/admission.rs
+++ b/front/src/engine/admission.rs
@@ -8,7 +8,7 @@
 use super::timers::{Timer, CELL_INTERVAL_MS};
 use super::{priority_if, Engine};
 use crate::exchange::{Answer, AttemptKey, Incoming, Upstream};
-use crate::process::part;
+use crate::process::jitter_fraction;
 
 /// A request that has not been fully written to a node by this fraction of its time is rejected: the client learns
 /// early that nothing has run, and still has time to act on it.
@@ -153,8 +153,8 @@
 
     /// The retry-after time of the engine's own rejections, spread over clients so that they don't return together.
     pub(super) fn retry_after(&self, id: RequestId) -> Option<u64> {
-        let fraction =
-            MIN_RETRY_AFTER_FRACTION + (1.0 - MIN_RETRY_AFTER_FRACTION) * part(self.seed, u64::from(id.0));
+        let fraction = MIN_RETRY_AFTER_FRACTION
+            + (1.0 - MIN_RETRY_AFTER_FRACTION) * jitter_fraction(self.seed, u64::from(id.0));
         self.max_retry_after_ms.map(|ms| (ms as f64 * fraction) as u64)
     }
 
--- a/front/src/engine/budget_client.rs
+++ b/front/src/engine/budget_client.rs
@@ -169,7 +169,7 @@
     ) -> BudgetClient {
         let mut client = BudgetClient {
             settings,
-            now: clock::both(),
+            now: clock::both_clocks(),
             limits,
             kinds,
             ledger: QuotaLedger::new(settings),
--- a/front/src/engine/maintenance_client.rs
+++ b/front/src/engine/maintenance_client.rs
@@ -48,7 +48,7 @@
 impl MaintenanceClient {
     pub fn new(exclusions: MaintenanceExclusions, own_machine: Option<MachineId>) -> MaintenanceClient {
         MaintenanceClient {
-            now: clock::both(),
+            now: clock::both_clocks(),
             exclusions,
             own_machine,
             machine_of_member: BTreeMap::new(),
--- a/front/src/engine/mod.rs
+++ b/front/src/engine/mod.rs
@@ -175,7 +175,7 @@
             self.now = clock::steady_ms().max(self.now);
             return;
         };
-        let now = clock::both();
+        let now = clock::both_clocks();
         self.now = clock::steady_ms().max(self.now);
         budgets.set_time(now);
         if let Some(maintenance) = &mut self.maintenance {
--- a/front/src/fleet/datagram_socket.rs
+++ b/front/src/fleet/datagram_socket.rs
@@ -97,7 +97,7 @@
 
     /// Reads waiting datagrams, up to the limits of one call. An empty datagram only wakes the thread and is skipped.
     pub fn receive(&mut self) -> Vec<Vec<u8>> {
-        self.release_timer.turn(&self.listener.isolated, clock::steady_ms());
+        self.release_timer.release_if_due(&self.listener.isolated, clock::steady_ms());
         let mut datagrams = Vec::new();
         let mut buffer = [0; RECEIVE_BUFFER_BYTES];
         self.receive_shared(&mut buffer, &mut datagrams);
--- a/front/src/fleet/node_store.rs
+++ b/front/src/fleet/node_store.rs
@@ -11,7 +11,7 @@
 use elmtide_store::{Store, StoreError};
 
 use crate::process::backoff::Backoff;
-use crate::process::spawn_with_usual_stack;
+use crate::process::spawn_with_default_stack;
 
 /// Pauses between attempts to rewrite a failed store: the first and the longest.
 const RETRY_PAUSE: (Duration, Duration) = (Duration::from_millis(500), Duration::from_secs(5));
@@ -60,7 +60,7 @@
         let rewrite = move || {
             let _ = result_sender.send(Store::rewrite(&path, &installation));
         };
-        spawn_with_usual_stack("store-recovery", rewrite)?;
+        spawn_with_default_stack("store-recovery", rewrite)?;
         self.attempt = Some(attempt);
         Ok(())
     }
--- a/front/src/fleet/runner.rs
+++ b/front/src/fleet/runner.rs
@@ -56,7 +56,7 @@
             recovered,
             seed: self.seed,
         };
-        FleetNode::new(config, clock::both())
+        FleetNode::new(config, clock::both_clocks())
     }
 }
 
@@ -154,7 +154,7 @@
             self.report_to_node();
             self.recover_store();
             self.process_commands();
-            self.node.advance_time(clock::both());
+            self.node.advance_time(clock::both_clocks());
             self.process_outputs();
             self.confirm_departure();
             self.update_status();
@@ -162,14 +162,14 @@
     }
 
     fn wait(&self) {
-        let until_deadline = self.node.next_deadline().saturating_sub(clock::both().monotonic);
+        let until_deadline = self.node.next_deadline().saturating_sub(clock::both_clocks().monotonic);
         let wait = Duration::from_micros(until_deadline).clamp(MIN_WAIT, MAX_WAIT);
         self.socket.wait(wait);
     }
 
     fn receive_datagrams(&mut self) {
         for datagram in self.socket.receive() {
-            self.node.on_datagram(&datagram, clock::both());
+            self.node.on_datagram(&datagram, clock::both_clocks());
             // Syncs come first: the handling of the next datagram may depend on them.
             self.process_outputs();
         }
@@ -178,7 +178,7 @@
     fn process_engine_reports(&mut self) {
         while let Ok(report) = self.channels.reports.try_recv() {
             if let Some(epoch) = report.quota_epoch {
-                self.node.on_applied(epoch, report.minimums_epoch, clock::both());
+                self.node.on_applied(epoch, report.minimums_epoch, clock::both_clocks());
             }
             self.node.set_demands(report.demands.clone());
             if let Some(maintenance) = &report.maintenance {
@@ -190,10 +190,10 @@
 
     fn report_to_node(&mut self) {
         if let Some(report) = self.desk.report() {
-            self.node.report_maintenance(report, clock::both());
+            self.node.report_maintenance(report, clock::both_clocks());
         }
         if let Some(sites) = &mut self.sites {
-            let now = clock::both();
+            let now = clock::both_clocks();
             let report = sites.report(self.node.take_heard_fronts(), self.report.own_site, now);
             self.node.report_sites(report, now);
         }
@@ -201,7 +201,7 @@
 
     fn process_commands(&mut self) {
         while let Ok(command) = self.channels.commands.try_recv() {
-            let now = clock::both();
+            let now = clock::both_clocks();
             match command {
                 RunnerCommand::Leave(reply) => {
                     self.departure_reply = Some(reply);
@@ -284,7 +284,7 @@
                 SyncResult::Failed
             }
         };
-        self.node.on_synced(result, clock::both());
+        self.node.on_synced(result, clock::both_clocks());
     }
 
     /// Once a failed store has been rewritten, starts a new node from it, as after a restart of the process. A front
@@ -348,7 +348,7 @@
             return;
         }
         self.status_updated_at = Instant::now();
-        let now = clock::both();
+        let now = clock::both_clocks();
         let names = &self.desk.names().fronts;
         let status = self.node.status(now);
         let view = FleetStatusView::new(status, &self.report, names, self.socket.over_limit(), now);
--- a/front/src/fleet/site_failover.rs
+++ b/front/src/fleet/site_failover.rs
@@ -313,7 +313,7 @@
 
     /// Whether this front's lease on the view is valid.
     pub fn has_valid_lease(&self, state: &FailoverState) -> bool {
-        state.held.has_valid_lease(&self.config.lease, clock::both())
+        state.held.has_valid_lease(&self.config.lease, clock::both_clocks())
     }
 
     /// The front that runs a request for a key that arrived at `arrived_at`.
--- a/front/src/fleet/site_watch.rs
+++ b/front/src/fleet/site_watch.rs
@@ -79,7 +79,7 @@
         let caches = others.iter().map(|(site, entry)| (*site, entry.boxes.clone())).collect();
         probe::start(caches, timeout, &answer_sender).map_err(StartError::io("site-probe"))?;
         let others = others.iter().map(|(site, _)| *site);
-        let now = clock::both().monotonic;
+        let now = clock::both_clocks().monotonic;
         Ok(SiteWatch {
             failover,
             monitor: SiteHealthMonitor::new(timeout.as_micros() as u64, others, now),
--- a/front/src/lifecycle/edge.rs
+++ b/front/src/lifecycle/edge.rs
@@ -19,8 +19,8 @@
 use elmtide_steering::{BranchId, Condition, FailoverRoute, FrontId, Steering};
 
 use crate::edge::config::{EdgeConfig, FrontState};
-use crate::edge::in_force::{Former, InForce, State};
-use crate::edge::serial::{serial_for, Kept};
+use crate::edge::in_force::{FormerFronts, InForce, State};
+use crate::edge::serial::{serial_for, StoredSerial};
 use crate::fleet::site_failover::SiteFailover;
 use crate::lifecycle::apply_error::ApplyError;
 use crate::lifecycle::cookie_secrets::{random, read_private, read_secrets, SecretSource};
@@ -67,7 +67,7 @@
     steering: Option<Steering>,
     peers: Option<Peers>,
     notifier: Option<Notifier>,
-    kept: Option<Kept>,
+    kept: Option<StoredSerial>,
     /// The serial could not be saved: when that is tried again.
     unsaved_serial: Option<Ms>,
     secret: SecretSource,
@@ -191,10 +191,11 @@
         let now = clock::steady_ms();
         let current = self.in_force.now();
         let config = Arc::new(to.clone());
-        let mut former: Vec<Former> = current.former.iter().filter(|f| f.until > now).cloned().collect();
+        let mut former: Vec<FormerFronts> =
+            current.former.iter().filter(|f| f.until > now).cloned().collect();
         if !current.config.is_off() && current.config.front != to.front {
             let hold = to.hand_over_s.map_or(self.longest.ms() * LIVES, |s| s * 1000.0);
-            former.push(Former { config: current.config.clone(), until: now + hold });
+            former.push(FormerFronts { config: current.config.clone(), until: now + hold });
             if former.len() > FORMERS {
                 return Err("the fronts change too often: keys are still changing hands".into());
             }
@@ -210,10 +211,10 @@
                 file: None,
             });
         }
-        let meaning = to.meaning()?;
+        let meaning = to.compile()?;
         let last = match (&live.kept, &to.serial_file) {
             (Some(kept), _) => Some(kept.clone()),
-            (None, Some(path)) => Kept::load(path).unwrap_or_else(|why| {
+            (None, Some(path)) => StoredSerial::load(path).unwrap_or_else(|why| {
                 eprintln!("edge: the serial goes by the clock: {why}");
                 None
             }),
@@ -262,7 +263,7 @@
         let own = to.front.iter().find(|f| f.name == self.name);
         if let Some(own) = own.filter(|o| o.state == FrontState::Draining) {
             // A plan that touches something else does not begin the time anew.
-            state.clings_until = current.clings_until.or(Some(now + own.cling_s * 1000.0));
+            state.drain_grace_until = current.drain_grace_until.or(Some(now + own.cling_s * 1000.0));
         }
         let others = to.front.iter().enumerate().filter(|(_, f)| f.name != self.name);
         let watched: Vec<(FrontId, SocketAddr)> =
@@ -512,7 +513,7 @@
 /// A state that is ready to come into force.
 struct Next {
     state: State,
-    kept: Option<Kept>,
+    kept: Option<StoredSerial>,
     steering: Option<Steering>,
     peers: Option<Peers>,
     notifier: Option<Notifier>,
--- a/front/src/lifecycle/plan.rs
+++ b/front/src/lifecycle/plan.rs
@@ -4,7 +4,7 @@
 
 use crate::edge::cells::CellsConfig;
 use crate::edge::config::EdgeConfig;
-use crate::edge::plan::{cells_difference, difference, CellsPlan, Plan, VERSION};
+use crate::edge::plan::{cells_difference, difference, CellsPlan, Plan, PLAN_VERSION};
 use crate::lifecycle::control::{self, Ask, Reply};
 
 /// Prints the difference and saves the plan; whether there is a change. The cells' file counts where it is there.
@@ -34,7 +34,7 @@
     difference(&from, &to).iter().for_each(|line| println!("{line}"));
     println!("{}", if changed { "the file differs from what is in force" } else { "no change" });
     if let Some(path) = out {
-        Plan { version: VERSION, from: from.fingerprint(), to, cells: cells_plan }.save(path)?;
+        Plan { version: PLAN_VERSION, from: from.fingerprint(), to, cells: cells_plan }.save(path)?;
         println!("plan saved to {}", path.display());
     }
     Ok(changed)
--- a/front/src/lifecycle/second_front.rs
+++ b/front/src/lifecycle/second_front.rs
@@ -22,7 +22,7 @@
 use crate::memory::counters::Counters;
 use crate::memory::ledger::Ledger;
 use crate::memory::longest::Longest;
-use crate::process::log::Log;
+use crate::process::log::RateLimitedLog;
 use crate::process::{random_secret, spawn};
 use crate::server::clients::Clients;
 use crate::server::http::HttpContext;
@@ -78,7 +78,7 @@
         let shared = dns::DnsContext {
             counts: Arc::default(),
             datagrams: Arc::default(),
-            log: Log::default(),
+            log: RateLimitedLog::default(),
             seed: random_secret(),
         };
         let _ = counters.dns.set(shared.counts.clone());
--- a/front/src/process/backoff.rs
+++ b/front/src/process/backoff.rs
@@ -1,29 +1,29 @@
-//! Pauses between tries that fail one after the other.
+//! Exponential backoff between consecutive failed attempts.
 
 use std::time::Duration;
 
-/// A pause that grows with each failure in a row, up to a limit.
+/// A pause that doubles with each consecutive failure, up to a maximum.
 #[derive(Debug)]
 pub struct Backoff {
     first: Duration,
-    longest: Duration,
+    max: Duration,
     next: Duration,
 }
 
 impl Backoff {
-    /// The first pause, and the longest.
-    pub fn new(first: Duration, longest: Duration) -> Backoff {
-        Backoff { first, longest, next: first }
+    /// Starts at `first` and never exceeds `max`.
+    pub fn new(first: Duration, max: Duration) -> Backoff {
+        Backoff { first, max, next: first }
     }
 
-    /// A try has failed: how long to wait before the next one.
+    /// Records a failed attempt and returns the pause before the next one.
     pub fn pause(&mut self) -> Duration {
         let pause = self.next;
-        self.next = (pause * 2).min(self.longest);
+        self.next = (pause * 2).min(self.max);
         pause
     }
 
-    /// A try went well.
+    /// Records a successful attempt: the next pause is the first one again.
     pub fn reset(&mut self) {
         self.next = self.first;
     }
--- a/front/src/process/datagram_counters.rs
+++ b/front/src/process/datagram_counters.rs
@@ -1,7 +1,8 @@
-//! What becomes of the datagrams of a UDP listener, from the system's queue to the answer.
+//! Counters of a UDP listener's datagrams, from the system's queue to the answer.
 //!
-//! Every datagram that comes is in exactly one of: dropped by the system (shared or isolated), received. The counters tell where
-//! one was lost: dropped before it was read, judged by a limit (counted by whoever judges), answered, or not sent.
+//! Every datagram that arrives is counted either as dropped by the system (shared or isolated) or as received. The
+//! counters show what happened to it: dropped before it was read, rejected by a limit (counted where the limit is
+//! applied), answered, or not sent.
 
 use std::net::UdpSocket;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
@@ -10,62 +11,62 @@
 use crate::process::datagram_listener::IsolatedSenders;
 use crate::process::system_drops::SystemDrops;
 
-/// Counters of all listeners of one kind.
+/// Datagram counters of all listeners of one kind.
 #[derive(Debug, Default)]
 pub struct DatagramCounters {
-    /// Read from sockets that many senders share.
+    /// Datagrams read from the shared sockets.
     pub received: AtomicU64,
-    /// Read from the queues of isolated senders.
+    /// Datagrams read from the queues of isolated senders.
     pub isolated_received: AtomicU64,
-    /// Reads that failed, but for time-outs and interruptions.
+    /// Failed reads, except for timeouts and interruptions.
     pub receive_failed: AtomicU64,
     /// Answers handed to the system.
     pub sent: AtomicU64,
-    /// Answers that the system did not take.
+    /// Answers that the system did not accept.
     pub send_failed: AtomicU64,
-    /// Dropped by the system before they were read, for want of room in a shared queue.
+    /// Datagrams that the system dropped before they were read because a shared queue was full.
     pub dropped_by_system: AtomicU64,
-    /// The same of the queues of isolated senders.
+    /// The same for the queues of isolated senders.
     pub isolated_dropped_by_system: AtomicU64,
-    /// How often a sender was given a queue of its own.
+    /// How many times a sender was given its own queue.
     pub isolations: AtomicU64,
     watched: Mutex<Vec<WatchedListener>>,
 }
 
-/// The queues of one listener, for as long as it is there.
+/// The queues of one listener, while it exists.
 #[derive(Debug)]
 struct WatchedListener {
-    of_shared: SystemDrops,
-    of_isolated: SystemDrops,
+    shared_drops: SystemDrops,
+    isolated_drops: SystemDrops,
     senders: Weak<IsolatedSenders>,
 }
 
 impl DatagramCounters {
-    /// Counts the system's drops at these sockets from now on.
+    /// Starts counting the system's drops at these sockets.
     pub fn watch(&self, shared: &UdpSocket, isolated: &Arc<IsolatedSenders>) {
         let watched = WatchedListener {
-            of_shared: SystemDrops::of([shared]),
-            of_isolated: SystemDrops::of(isolated.sockets()),
+            shared_drops: SystemDrops::for_sockets([shared]),
+            isolated_drops: SystemDrops::for_sockets(isolated.sockets()),
             senders: Arc::downgrade(isolated),
         };
         self.watched.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).push(watched);
     }
 
-    /// Brings the drops up to date; how many are new at shared queues. The system's table costs time for each socket of the
-    /// machine, so this is for whoever looks at the counters, and for a thread that sees a flood.
+    /// Updates the drop counters and returns the number of new drops at shared queues. The cost grows with the number
+    /// of the machine's UDP sockets, so call it only when the counters are shown, or from a thread that sees a flood.
     pub fn refresh_drops(&self) -> u64 {
         let mut watched = self.watched.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
         watched.retain(|listener| listener.senders.strong_count() > 0);
         let mut new = 0;
         for listener in watched.iter_mut() {
-            new += listener.of_shared.take_new();
-            self.isolated_dropped_by_system.fetch_add(listener.of_isolated.take_new(), Relaxed);
+            new += listener.shared_drops.take_new();
+            self.isolated_dropped_by_system.fetch_add(listener.isolated_drops.take_new(), Relaxed);
         }
         self.dropped_by_system.fetch_add(new, Relaxed);
         new
     }
 
-    /// Names and values by now, for whoever shows them.
+    /// Names and current values, for display.
     pub fn named(&self) -> [(&'static str, u64); 8] {
         self.refresh_drops();
         [
--- a/front/src/process/datagram_listener/tests.rs
+++ b/front/src/process/datagram_listener/tests.rs
@@ -4,16 +4,16 @@
 use super::{DatagramListener, Isolation, ReleaseTimer, MAX_ISOLATED, RELEASE_INTERVAL_MS};
 
 const BUFFER_BYTES: usize = 512;
-/// More datagrams than any queue here holds.
+/// More datagrams than any of the queues holds.
 const FLOOD: usize = 60_000;
 
-fn any_port() -> SocketAddr {
+fn free_address() -> SocketAddr {
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
     socket.local_addr().unwrap()
 }
 
 fn listener() -> DatagramListener {
-    let listener = DatagramListener::bind(any_port()).unwrap();
+    let listener = DatagramListener::bind(free_address()).unwrap();
     listener.shared.set_nonblocking(true).unwrap();
     listener
 }
@@ -25,7 +25,7 @@
     socket
 }
 
-/// Reads the shared socket until it is empty; who sent what.
+/// Reads the shared socket until it is empty; returns each datagram with its sender.
 fn drain_shared(listener: &DatagramListener, isolation: &mut Isolation) -> Vec<(SocketAddr, Vec<u8>)> {
     let mut buffer = [0; BUFFER_BYTES];
     let mut all = Vec::new();
@@ -36,6 +36,7 @@
     all
 }
 
+/// Reads the isolated senders' queues until they are empty; returns each datagram with its sender.
 fn drain_isolated(listener: &DatagramListener) -> Vec<(SocketAddr, Vec<u8>)> {
     let mut all = Vec::new();
     loop {
@@ -47,9 +48,9 @@
     }
 }
 
-/// A flood fills the queue of its sender alone: whoever else sends while nobody reads is read afterwards.
+/// A flood fills only its sender's queue: datagrams that others send while nothing is read are received afterwards.
 #[test]
-fn a_flood_while_nobody_reads_drops_nothing_of_others() {
+fn a_flood_while_nothing_is_read_drops_no_datagrams_of_other_senders() {
     let listener = listener();
     let mut isolation = Isolation::new(listener.isolated.clone());
     let (flooder, other) = (sender(&listener), sender(&listener));
@@ -64,7 +65,7 @@
     assert!(of_flooder.iter().all(|(from, _)| *from == flooder.local_addr().unwrap()));
 }
 
-/// An answer to an isolated sender comes from the listener's address, as any other.
+/// An answer to an isolated sender comes from the listener's address, like any other answer.
 #[test]
 fn an_isolated_sender_is_answered_from_the_same_address() {
     let listener = listener();
@@ -79,13 +80,13 @@
     });
     assert_eq!(answered, 1);
     let mut buffer = [0; BUFFER_BYTES];
-    // The socket is connected: it takes nothing from elsewhere.
+    // The socket is connected, so it receives only from the listener's address.
     assert_eq!(flooder.recv(&mut buffer).unwrap(), 6);
 }
 
-/// Queues are taken back from idle senders and given to others, and what lies in them at that moment is read.
+/// Queues of idle senders are released and given to others, and datagrams still in them are read.
 #[test]
-fn a_queue_passes_from_an_idle_sender_to_the_next() {
+fn a_queue_of_an_idle_sender_is_reused_without_losing_datagrams() {
     let listener = listener();
     let mut timer = ReleaseTimer::default();
     for round in 1..4 {
@@ -95,14 +96,14 @@
             one.send(b"question").unwrap();
         }
         let now = RELEASE_INTERVAL_MS * f64::from(round);
-        assert!(timer.turn(&listener.isolated, now));
-        assert!(!timer.turn(&listener.isolated, now + 1.0));
+        assert!(timer.release_if_due(&listener.isolated, now));
+        assert!(!timer.release_if_due(&listener.isolated, now + 1.0));
         assert_eq!(drain_isolated(&listener).len(), MAX_ISOLATED);
     }
 }
 
 #[test]
-fn a_sender_has_one_queue_and_there_are_only_so_many() {
+fn a_sender_gets_one_queue_and_the_number_of_queues_is_bounded() {
     let listener = listener();
     let senders: Vec<UdpSocket> = (0..=MAX_ISOLATED).map(|_| sender(&listener)).collect();
     let given = senders.iter().filter(|s| listener.isolated.isolate(s.local_addr().unwrap())).count();
@@ -110,9 +111,9 @@
     assert!(!listener.isolated.isolate(senders[0].local_addr().unwrap()));
 }
 
-/// The sockets share the address among themselves and with nobody else.
+/// The listener's sockets share its address; no other socket can bind it.
 #[test]
-fn the_address_is_taken_for_others() {
+fn the_address_cannot_be_bound_by_other_sockets() {
     let listener = listener();
     let address = listener.shared.local_addr().unwrap();
     assert_eq!(UdpSocket::bind(address).unwrap_err().kind(), std::io::ErrorKind::AddrInUse);
--- a/front/src/process/log.rs
+++ b/front/src/process/log.rs
@@ -1,5 +1,4 @@
-//! The log: where events go, and a bound on the lines that a peer can provoke (so many a second are written, the others only
-//! counted).
+//! Logging: its setup, and a rate limit on the log lines that a peer can cause. Lines above the limit are only counted.
 
 use std::sync::{Mutex, MutexGuard};
 use std::time::{Duration, Instant};
@@ -7,10 +6,10 @@
 use serde::Deserialize;
 use tracing::Level;
 
-/// Names the least level of the events that are logged: `error`, `warn`, `info` (where it is not set), `debug`, `trace`.
+/// Environment variable with the minimum level of logged events: `error`, `warn`, `info` (default), `debug`, `trace`.
 const LEVEL_VARIABLE: &str = "ELMTIDE_LOG";
 
-/// How events are written.
+/// The format of log events.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LogForm {
@@ -21,7 +20,7 @@
     Json,
 }
 
-/// Has events written to standard error, each with its time, its level and its fields.
+/// Starts logging to standard error; each event has its time, level and fields.
 pub fn init(form: LogForm) {
     let level = configured_level();
     let base = tracing_subscriber::fmt()
@@ -29,7 +28,7 @@
         .with_target(false)
         .with_ansi(false)
         .with_max_level(level);
-    // Whoever has set a subscriber already keeps it.
+    // A subscriber that is already installed stays.
     let _ = match form {
         LogForm::Text => base.try_init(),
         LogForm::Json => base.json().try_init(),
@@ -40,46 +39,52 @@
     let Ok(text) = std::env::var(LEVEL_VARIABLE) else { return Level::INFO };
     text.parse().unwrap_or_else(|_| {
         eprintln!(
-            "log: {LEVEL_VARIABLE}={text} is no level (error, warn, info, debug, trace): info is taken"
+            "log: {LEVEL_VARIABLE}={text} is not a level (error, warn, info, debug, trace); using info"
         );
         Level::INFO
     })
 }
 
-const EVERY: Duration = Duration::from_secs(1);
-const LINES: u32 = 5;
+/// Length of a window of the rate limit.
+const WINDOW: Duration = Duration::from_secs(1);
+/// Lines written per window.
+const MAX_LINES_PER_WINDOW: u32 = 5;
 
+/// A log with a rate limit, for lines that a peer can cause.
 #[derive(Debug, Default)]
-pub struct Log(Mutex<Option<Second>>);
+pub struct RateLimitedLog(Mutex<Option<Window>>);
 
+/// The lines of the current window.
 #[derive(Debug)]
-struct Second {
-    since: Instant,
+struct Window {
+    started_at: Instant,
     written: u32,
-    left_out: u64,
+    suppressed: u64,
 }
 
-impl Log {
-    fn lock(&self) -> MutexGuard<'_, Option<Second>> {
+impl RateLimitedLog {
+    fn lock(&self) -> MutexGuard<'_, Option<Window>> {
         self.0.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    pub fn say(&self, line: impl FnOnce() -> String) {
-        let mut second = self.lock();
+    /// Writes the line to standard error unless the window's limit has been reached. The first line after a window with
+    /// suppressed lines is preceded by their number.
+    pub fn write(&self, line: impl FnOnce() -> String) {
+        let mut window = self.lock();
         let now = Instant::now();
-        let fresh = || Second { since: now, written: 0, left_out: 0 };
-        let current = second.get_or_insert_with(fresh);
-        if now - current.since > EVERY {
-            let left_out = std::mem::replace(current, fresh()).left_out;
-            if left_out > 0 {
-                eprintln!("{left_out} more lines like the last were left out");
+        let new_window = || Window { started_at: now, written: 0, suppressed: 0 };
+        let current = window.get_or_insert_with(new_window);
+        if now - current.started_at > WINDOW {
+            let suppressed = std::mem::replace(current, new_window()).suppressed;
+            if suppressed > 0 {
+                eprintln!("{suppressed} similar log lines were suppressed");
             }
         }
-        if current.written < LINES {
+        if current.written < MAX_LINES_PER_WINDOW {
             current.written += 1;
             eprintln!("{}", line());
         } else {
-            current.left_out += 1;
+            current.suppressed += 1;
         }
     }
 }
--- a/front/src/process/mod.rs
+++ b/front/src/process/mod.rs
@@ -1,4 +1,4 @@
-//! What every part of the program needs of its process: threads, the clock, the log.
+//! Process-level services that every part of the front uses: threads, clocks, socket errors, files, log.
 
 pub mod accept;
 pub mod backoff;
@@ -16,35 +16,36 @@
 use std::io;
 use std::thread::{Builder, JoinHandle};
 
-/// Stack of a connection's thread. Hundreds of them have to fit into the memory of a front.
-const STACK: usize = 128 * 1024;
+/// Stack size of a connection's thread. Hundreds of these threads have to fit into the memory of a front.
+const STACK_BYTES: usize = 128 * 1024;
 
-/// Starts a thread with a small stack that the program can't do without.
+/// Starts a thread with a small stack that the program cannot run without; retries transient failures.
 pub fn spawn_at_start(name: &str, body: impl FnOnce() + Send + 'static) -> io::Result<JoinHandle<()>> {
-    transient::spawn_at_start(name, Some(STACK), body)
+    transient::spawn_at_start(name, Some(STACK_BYTES), body)
 }
 
+/// Starts a thread with a small stack.
 pub fn spawn(name: &str, body: impl FnOnce() + Send + 'static) -> io::Result<JoinHandle<()>> {
-    Builder::new().name(name.into()).stack_size(STACK).spawn(body)
+    Builder::new().name(name.into()).stack_size(STACK_BYTES).spawn(body)
 }
 
-/// Starts a thread for work that needs more stack than a connection's.
-pub fn spawn_with_usual_stack(
+/// Starts a thread with the default stack size, for work that needs more stack than a connection does.
+pub fn spawn_with_default_stack(
     name: &str,
     body: impl FnOnce() + Send + 'static,
 ) -> io::Result<JoinHandle<()>> {
     Builder::new().name(name.into()).spawn(body)
 }
 
-/// A part of one, drawn for this front and occasion: what happens to all fronts at once must not bring them, or those
-/// whom they turn away, back at once.
-pub fn part(seed: u64, occasion: u64) -> f64 {
+/// A pseudo-random fraction from 0 to 1, fixed for a front (`seed`) and an occasion. It spreads out retries: an event
+/// that affects all fronts at once must not make them, or the clients they reject, come back at the same time.
+pub fn jitter_fraction(seed: u64, occasion: u64) -> f64 {
     let mut hasher = DefaultHasher::new();
     (seed, occasion).hash(&mut hasher);
     hasher.finish() as f64 / u64::MAX as f64
 }
 
-/// A number that nobody can guess.
+/// An unpredictable number. Falls back to the clock if the system has no random bytes.
 pub fn random_secret() -> u64 {
     let mut bytes = [0; 8];
     match getrandom::fill(&mut bytes) {
--- a/front/src/process/socket_error.rs
+++ b/front/src/process/socket_error.rs
@@ -1,4 +1,5 @@
-//! What a failed call on a socket calls for, by the errors that Linux documents for it. Every socket of the program goes by this.
+//! How to react to a failed socket call, by the errors that Linux documents for it. All sockets of the program use
+//! this.
 
 use std::io::{self, ErrorKind};
 
@@ -7,7 +8,7 @@
 /// The call that failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Call {
-    /// `socket` or `bind` of an address of our own.
+    /// `socket` or `bind` to a local address.
     Bind,
     /// `accept`.
     Accept,
@@ -17,25 +18,25 @@
     ReceiveDatagram,
 }
 
-/// What is to be done about a failed call.
+/// The reaction to a failed call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Remedy {
-    /// The same call again: it was interrupted, or its error was that of one connection, which has gone.
+    /// Repeat the call at once: it was interrupted, or the error belonged to a single connection that no longer exists.
     RetryNow,
-    /// The call again when the socket is ready.
+    /// Repeat the call when the socket is ready.
     WaitUntilReady,
-    /// The call again after a pause: this machine is short of something, or an address is in use for a while.
+    /// Repeat the call after a pause: this machine is short of a resource, or an address is temporarily in use.
     BackOff,
-    /// The connection is of no use, for a reason of its peer or of the way there.
+    /// Drop the connection: its peer or the network path failed.
     DropConnection,
-    /// The call fails each time: the socket, or what was asked of it, is wrong.
+    /// Do not retry: the socket or the call is invalid and would fail every time.
     GiveUp,
 }
 
-/// Errors that say that this machine is short of descriptors or memory.
-const SHORTAGES: [Errno; 4] = [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM];
-/// Errors of the connection that was to be accepted: Linux passes its pending network errors on as errors of `accept`.
-const ERRORS_OF_THE_ACCEPTED: [Errno; 10] = [
+/// Errors that mean that this machine is short of descriptors or memory.
+const SHORTAGE_ERRORS: [Errno; 4] = [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM];
+/// Errors of the connection to be accepted: Linux returns its pending network errors as errors of `accept`.
+const ACCEPTED_CONNECTION_ERRORS: [Errno; 10] = [
     Errno::CONNABORTED,
     Errno::PERM,
     Errno::PROTO,
@@ -47,11 +48,11 @@
     Errno::OPNOTSUPP,
     Errno::NETUNREACH,
 ];
-/// Errors of an address of our own that another socket may give up, or an interface may get, a moment later.
-const ADDRESS_UNAVAILABLE: [Errno; 2] = [Errno::ADDRINUSE, Errno::ADDRNOTAVAIL];
-/// Errors of `connect` whose cause is the peer, or the way to it: EADDRNOTAVAIL says that no port is left for this very peer, or
-/// that its address is none.
-const ERRORS_OF_THE_PEER: [Errno; 6] = [
+/// Errors of a local address that another socket may release, or that an interface may get, a moment later.
+const UNAVAILABLE_ADDRESS_ERRORS: [Errno; 2] = [Errno::ADDRINUSE, Errno::ADDRNOTAVAIL];
+/// Errors of `connect` caused by the peer or the network path to it. EADDRNOTAVAIL means that no local port is left for
+/// this peer, or that its address is invalid.
+const PEER_ERRORS: [Errno; 6] = [
     Errno::CONNREFUSED,
     Errno::CONNRESET,
     Errno::TIMEDOUT,
@@ -60,34 +61,35 @@
     Errno::ADDRNOTAVAIL,
 ];
 
-/// Errors that a datagram socket passes on of what it has sent before: nobody listens there, or there is no way.
-const ERRORS_OF_EARLIER_DATAGRAMS: [Errno; 5] =
+/// Errors of earlier sends that a datagram socket reports later: nothing listens at the destination, or it is
+/// unreachable.
+const EARLIER_DATAGRAM_ERRORS: [Errno; 5] =
     [Errno::CONNREFUSED, Errno::HOSTUNREACH, Errno::NETUNREACH, Errno::HOSTDOWN, Errno::NETDOWN];
 
-/// What a failed call calls for.
+/// The reaction to a failed call.
 pub fn remedy(call: Call, error: &io::Error) -> Remedy {
     if error.kind() == ErrorKind::Interrupted {
         return Remedy::RetryNow;
     }
-    // The standard library's own time limits have a kind and no number.
+    // Timeouts of the standard library have a kind but no error number.
     let Some(errno) = Errno::from_io_error(error) else {
         return match error.kind() {
             ErrorKind::TimedOut => Remedy::DropConnection,
             _ => Remedy::GiveUp,
         };
     };
-    if SHORTAGES.contains(&errno) {
+    if SHORTAGE_ERRORS.contains(&errno) {
         return Remedy::BackOff;
     }
     match call {
         Call::Accept if errno == Errno::AGAIN => Remedy::WaitUntilReady,
-        Call::Accept if ERRORS_OF_THE_ACCEPTED.contains(&errno) => Remedy::RetryNow,
-        Call::Bind if ADDRESS_UNAVAILABLE.contains(&errno) => Remedy::BackOff,
-        // No entry is left in the routing cache.
+        Call::Accept if ACCEPTED_CONNECTION_ERRORS.contains(&errno) => Remedy::RetryNow,
+        Call::Bind if UNAVAILABLE_ADDRESS_ERRORS.contains(&errno) => Remedy::BackOff,
+        // The routing cache is full.
         Call::Connect if errno == Errno::AGAIN => Remedy::BackOff,
-        Call::Connect if ERRORS_OF_THE_PEER.contains(&errno) => Remedy::DropConnection,
+        Call::Connect if PEER_ERRORS.contains(&errno) => Remedy::DropConnection,
         Call::ReceiveDatagram if errno == Errno::AGAIN => Remedy::WaitUntilReady,
-        Call::ReceiveDatagram if ERRORS_OF_EARLIER_DATAGRAMS.contains(&errno) => Remedy::RetryNow,
+        Call::ReceiveDatagram if EARLIER_DATAGRAM_ERRORS.contains(&errno) => Remedy::RetryNow,
         Call::Bind | Call::Accept | Call::Connect | Call::ReceiveDatagram => Remedy::GiveUp,
     }
 }
--- a/front/src/process/start_gate.rs
+++ b/front/src/process/start_gate.rs
@@ -1,8 +1,8 @@
-//! Holds threads back until what they serve with is in force.
+//! Holds threads back until the configuration they serve with is in effect.
 
 use std::sync::{Arc, Condvar, Mutex};
 
-/// A gate that is closed at first, and opened once.
+/// A gate that starts closed and is opened once.
 #[derive(Clone, Debug, Default)]
 pub struct StartGate(Arc<(Mutex<bool>, Condvar)>);
 
@@ -14,7 +14,7 @@
         drop(opened.wait_while(guard, |is_open| !*is_open));
     }
 
-    /// Lets all threads pass, those that come later too.
+    /// Lets all current and later waiters pass.
     pub fn open(&self) {
         let (is_open, opened) = &*self.0;
         *is_open.lock().unwrap_or_else(|poisoned| poisoned.into_inner()) = true;
--- a/front/src/process/transient.rs
+++ b/front/src/process/transient.rs
@@ -1,4 +1,4 @@
-//! System calls that fail for a moment only, and the start of the program, which waits such moments out.
+//! Retries of system calls that fail transiently, mainly during the program's start.
 
 use std::io::{self, ErrorKind};
 use std::sync::{Arc, Mutex};
@@ -7,53 +7,54 @@
 
 use rustix::io::Errno;
 
-/// The start tries for so long: the platform gives a front longer to be ready.
-const START_PATIENCE: Duration = Duration::from_secs(8);
-/// Between two tries.
-const START_BACKOFF: Duration = Duration::from_millis(20);
+/// How long the start retries a call. The platform gives a front more time than this to become ready.
+const START_RETRY_TIMEOUT: Duration = Duration::from_secs(8);
+/// Pause between two attempts.
+const START_RETRY_PAUSE: Duration = Duration::from_millis(20);
 
-/// Whether the same call may succeed a moment later: it was interrupted, or the system is short of something.
+/// Whether the same call may succeed a moment later: it was interrupted, or the system is short of a resource.
 pub fn is_transient(error: &io::Error) -> bool {
-    const SHORTAGES: [Errno; 5] = [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM, Errno::AGAIN];
-    let is_shortage = Errno::from_io_error(error).is_some_and(|errno| SHORTAGES.contains(&errno));
+    const SHORTAGE_ERRORS: [Errno; 5] =
+        [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM, Errno::AGAIN];
+    let is_shortage = Errno::from_io_error(error).is_some_and(|errno| SHORTAGE_ERRORS.contains(&errno));
     is_shortage || error.kind() == ErrorKind::Interrupted
 }
 
-/// Calls something that the start needs until it succeeds, as long as it fails for a moment only.
+/// Repeats a call that the start needs until it succeeds, as long as its errors are transient.
 ///
 /// # Errors
-/// The last error, if it is a lasting one or [`START_PATIENCE`] is over.
+/// The last error, if it is permanent or [`START_RETRY_TIMEOUT`] has elapsed.
 pub fn retry_at_start<T>(what: &str, call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
-    retry_within(START_PATIENCE, what, call)
+    retry_within(START_RETRY_TIMEOUT, what, call)
 }
 
-/// Calls something until it succeeds, as long as it fails for a moment only, and for so long at most.
+/// Repeats a call until it succeeds, as long as its errors are transient and the timeout has not elapsed.
 ///
 /// # Errors
-/// The last error, if it is a lasting one or the patience is over.
+/// The last error, if it is permanent or the timeout has elapsed.
 pub fn retry_within<T>(
-    patience: Duration,
+    timeout: Duration,
     what: &str,
     mut call: impl FnMut() -> io::Result<T>,
 ) -> io::Result<T> {
-    let end = Instant::now() + patience;
-    let mut was_told = false;
+    let deadline = Instant::now() + timeout;
+    let mut was_logged = false;
     loop {
         let error = match call() {
-            Ok(done) => return Ok(done),
+            Ok(value) => return Ok(value),
             Err(error) => error,
         };
-        if !is_transient(&error) || Instant::now() >= end {
+        if !is_transient(&error) || Instant::now() >= deadline {
             return Err(error);
         }
-        if !std::mem::replace(&mut was_told, true) {
-            eprintln!("{what}: {error}; trying again for {} ms", patience.as_millis());
+        if !std::mem::replace(&mut was_logged, true) {
+            eprintln!("{what}: {error}; retrying for up to {} ms", timeout.as_millis());
         }
-        std::thread::sleep(START_BACKOFF);
+        std::thread::sleep(START_RETRY_PAUSE);
     }
 }
 
-/// Starts a thread that the program can't do without, as soon as the system lets it.
+/// Starts a thread that the program cannot run without; retries transient failures.
 ///
 /// # Errors
 /// As [`retry_at_start`].
@@ -62,7 +63,7 @@
     stack: Option<usize>,
     body: impl FnOnce() + Send + 'static,
 ) -> io::Result<JoinHandle<()>> {
-    // A builder uses its body up even where no thread was started.
+    // The builder consumes the closure even if starting the thread fails, so each attempt shares the body.
     let body = Arc::new(Mutex::new(Some(body)));
     retry_at_start(name, || {
         let body = body.clone();
--- a/front/src/process/transient/tests.rs
+++ b/front/src/process/transient/tests.rs
@@ -1,4 +1,4 @@
-//! Which errors are waited out, and for how long.
+//! Which errors are retried, and for how long.
 
 use super::*;
 
@@ -7,9 +7,9 @@
 }
 
 #[test]
-fn shortages_and_interruptions_pass_and_faults_of_the_call_last() {
-    let passing = [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM, Errno::AGAIN, Errno::INTR];
-    for errno in passing {
+fn shortages_and_interruptions_are_transient_and_other_errors_are_not() {
+    let transient = [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM, Errno::AGAIN, Errno::INTR];
+    for errno in transient {
         assert!(is_transient(&error(errno)), "{errno:?}");
     }
     for errno in [Errno::ACCESS, Errno::ADDRNOTAVAIL, Errno::BADF, Errno::INVAL, Errno::NOENT] {
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_call_that_fails_for_a_moment_is_made_again() {
+fn a_call_with_transient_errors_is_retried_until_it_succeeds() {
     let mut calls = 0;
     let done = retry_at_start("a call", || {
         calls += 1;
@@ -32,20 +32,20 @@
 }
 
 #[test]
-fn a_lasting_error_is_told_at_once_and_a_passing_one_when_the_patience_is_over() {
+fn a_permanent_error_is_returned_at_once_and_a_transient_one_after_the_timeout() {
     let mut calls = 0;
-    let lasting = retry_at_start("a call", || -> io::Result<()> {
+    let permanent = retry_at_start("a call", || -> io::Result<()> {
         calls += 1;
         Err(error(Errno::ACCESS))
     });
-    assert_eq!((Errno::from_io_error(&lasting.unwrap_err()), calls), (Some(Errno::ACCESS), 1));
-    let over = retry_within(Duration::ZERO, "a call", || -> io::Result<()> { Err(error(Errno::MFILE)) });
-    assert_eq!(Errno::from_io_error(&over.unwrap_err()), Some(Errno::MFILE));
+    assert_eq!((Errno::from_io_error(&permanent.unwrap_err()), calls), (Some(Errno::ACCESS), 1));
+    let timed_out = retry_within(Duration::ZERO, "a call", || -> io::Result<()> { Err(error(Errno::MFILE)) });
+    assert_eq!(Errno::from_io_error(&timed_out.unwrap_err()), Some(Errno::MFILE));
 }
 
 #[test]
-fn a_thread_runs_its_body_once() {
-    let (to, ran) = crossbeam_channel::unbounded();
-    spawn_at_start("body", None, move || to.send(()).unwrap()).unwrap().join().unwrap();
-    assert_eq!(ran.iter().count(), 1);
+fn a_thread_started_at_start_runs_its_body_once() {
+    let (sender, finished) = crossbeam_channel::unbounded();
+    spawn_at_start("body", None, move || sender.send(()).unwrap()).unwrap().join().unwrap();
+    assert_eq!(finished.iter().count(), 1);
 }
--- a/front/src/server/acceptor.rs
+++ b/front/src/server/acceptor.rs
@@ -9,7 +9,7 @@
 use rustix::event::epoll::{self, EventData, EventFlags};
 use rustix::event::Timespec;
 
-use crate::process::accept::{AcceptPolicy, Attempt};
+use crate::process::accept::{AcceptOutcome, AcceptPolicy};
 
 /// A listener that is registered with an event loop.
 pub struct Acceptor {
@@ -49,13 +49,13 @@
         }
         let listener = &self.listener;
         match self.policy.attempt(|| listener.accept()) {
-            Attempt::Accepted(accepted) => Ok(Some(accepted)),
-            Attempt::Empty => Ok(None),
-            Attempt::Pause(pause, error) => {
+            AcceptOutcome::Accepted(accepted) => Ok(Some(accepted)),
+            AcceptOutcome::Empty => Ok(None),
+            AcceptOutcome::Pause(pause, error) => {
                 self.pause(epoll, pause);
                 Err(error)
             }
-            Attempt::Broken(error) => {
+            AcceptOutcome::Broken(error) => {
                 self.close(epoll);
                 Err(error)
             }
--- a/front/src/server/dns.rs
+++ b/front/src/server/dns.rs
@@ -18,7 +18,7 @@
 use crate::edge::in_force::InForce;
 use crate::process::datagram_counters::DatagramCounters;
 use crate::process::datagram_listener::DatagramListener;
-use crate::process::log::Log;
+use crate::process::log::RateLimitedLog;
 use crate::process::start_gate::StartGate;
 use crate::process::{clock, spawn};
 
@@ -35,7 +35,7 @@
     pub counts: Arc<Counts>,
     /// Counters of datagrams received, sent and dropped.
     pub datagrams: Arc<DatagramCounters>,
-    pub log: Log,
+    pub log: RateLimitedLog,
     pub seed: u64,
 }
 
--- a/front/src/server/dns/datagrams.rs
+++ b/front/src/server/dns/datagrams.rs
@@ -68,7 +68,7 @@
         let isolated = isolation.observe(from, now);
         if isolated > 0 {
             counters.isolations.fetch_add(isolated as u64, Relaxed);
-            responder.shared.log.say(|| format!("dns: {from} is flooding: moved to its own queue"));
+            responder.shared.log.write(|| format!("dns: {from} is flooding: moved to its own queue"));
         }
         responder.respond(socket, &bytes[..length], from, now);
     }
@@ -84,7 +84,7 @@
             responder.shared.datagrams.isolated_received.fetch_add(1, Relaxed);
             responder.respond(socket, query, from, now);
         });
-        if timer.turn(senders, now) && !senders.sockets_in_use().is_empty() {
+        if timer.release_if_due(senders, now) && !senders.sockets_in_use().is_empty() {
             responder.report_drops();
         }
     }
@@ -117,7 +117,7 @@
         match catch_unwind(AssertUnwindSafe(|| server.answer(served, client, both_clocks(now), query, out))) {
             Ok(Reaction::Reply) => self.send(socket, from),
             Ok(Reaction::Silence | Reaction::Transfer(_)) => {}
-            Err(_) => self.shared.log.say(|| format!("dns: panic while answering a query from {from}")),
+            Err(_) => self.shared.log.write(|| format!("dns: panic while answering a query from {from}")),
         }
     }
 
@@ -143,7 +143,7 @@
         if dropped > 0 {
             self.shared
                 .log
-                .say(|| format!("dns: the system dropped {dropped} datagrams before they were read"));
+                .write(|| format!("dns: the system dropped {dropped} datagrams before they were read"));
         }
     }
 }
--- a/front/src/server/dns/streams.rs
+++ b/front/src/server/dns/streams.rs
@@ -102,7 +102,7 @@
                 Ok(Some(accepted)) => accepted,
                 Ok(None) => return,
                 Err(error) => {
-                    self.shared.log.say(|| format!("dns: accept: {error}"));
+                    self.shared.log.write(|| format!("dns: accept: {error}"));
                     return;
                 }
             };
@@ -120,7 +120,7 @@
             match ready {
                 Ok(()) => drop(self.streams.insert(id, (stream, EventFlags::IN))),
                 Err(why) => {
-                    self.shared.log.say(|| format!("dns: accept: {why}"));
+                    self.shared.log.write(|| format!("dns: accept: {why}"));
                     self.table.remove(id);
                 }
             }
@@ -134,7 +134,7 @@
             Ok(Some(Next::Goes)) => {}
             Ok(Some(Next::Close) | None) => self.end(id),
             Err(_) => {
-                self.shared.log.say(|| "dns: panic while serving a TCP connection".into());
+                self.shared.log.write(|| "dns: panic while serving a TCP connection".into());
                 self.end(id);
             }
         }
--- a/front/src/server/http.rs
+++ b/front/src/server/http.rs
@@ -328,7 +328,7 @@
             return self.answer_keyed_write(head, &class, fields, body, held, received_at);
         }
         let state = self.context.in_force.now();
-        if state.drained(received_at) {
+        if state.is_drained(received_at) {
             return Some(self.redirect_response(&state));
         }
         if let Some(response) = self.failover_response(&state, &class) {
@@ -394,13 +394,13 @@
 
     /// Whether the front drains, by configuration or by an operator command: rejected clients are told another address.
     fn redirects_clients(&self, state: &State) -> bool {
-        state.clings_until.is_some() || self.context.intake.counters.mode.sends_away()
+        state.drain_grace_until.is_some() || self.context.intake.counters.mode.sends_away()
     }
 
     /// The header that names another address for this client, if there is one.
     fn alternative_address(&self, state: &State) -> Option<(&'static str, String)> {
         let client = self.client.stream().peer_addr().ok()?.ip();
-        state.elsewhere(client, &self.context.name).map(|at| (USE_ADDRESS_HEADER, at.to_string()))
+        state.redirect_address(client, &self.context.name).map(|at| (USE_ADDRESS_HEADER, at.to_string()))
     }
 
     /// Handles a request that must never run twice. It runs once for its key; once it has been forwarded, it does so
@@ -424,7 +424,7 @@
             let mut owner = state.owner(key.as_str(), &context.name, received_at);
             if let Some(failover) = &context.sites {
                 let by_sites = failover.owner(&state.config, key.as_str(), received_at, &failover.current());
-                owner = by_sites.or_later(owner);
+                owner = by_sites.with_later_handover(owner);
             }
             match owner {
                 Owner::Other(owner) => {
@@ -438,7 +438,7 @@
                     let wait = (until - received_at).clamp(1.0, 10_000.0) as u64;
                     return Some(response_for(&Answer::Refused { wait_ms: Some(wait) }, false));
                 }
-                Owner::Ours if state.drained(received_at) => return Some(self.redirect_response(&state)),
+                Owner::Ours if state.is_drained(received_at) => return Some(self.redirect_response(&state)),
                 // A request that must be served is never rejected by the failover plan; a client that should go
                 // elsewhere learns the owner of its key from a 421.
                 Owner::Ours => {}
--- a/front/src/server/mod.rs
+++ b/front/src/server/mod.rs
@@ -24,7 +24,7 @@
 use crate::memory::budget::{Budget, Held};
 use crate::memory::counters::Counters;
 use crate::memory::figures::ClassTally;
-use crate::process::log::Log;
+use crate::process::log::RateLimitedLog;
 
 /// A request field as received. A field that occurs twice is unusable, because it is ambiguous which value is meant.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
@@ -126,7 +126,7 @@
     pub counters: Arc<Counters>,
     /// Bounds the bytes of request bodies in memory, whether partially received or open.
     pub request_memory: Budget,
-    pub log: Log,
+    pub log: RateLimitedLog,
 }
 
 impl Intake {
@@ -138,7 +138,14 @@
         counters: Arc<Counters>,
     ) -> Intake {
         let classes = ArcSwap::from_pointee(ClassTable::new(classes, &counters));
-        Intake { classes, next_id: AtomicU32::new(1), inputs, counters, request_memory, log: Log::default() }
+        Intake {
+            classes,
+            next_id: AtomicU32::new(1),
+            inputs,
+            counters,
+            request_memory,
+            log: RateLimitedLog::default(),
+        }
     }
 
     /// The class of this name, if there is one.
--- a/front/src/server/sockets.rs
+++ b/front/src/server/sockets.rs
@@ -415,7 +415,7 @@
         };
         if let Some(error) = error {
             self.intake.counters.broken_clients.fetch_add(1, Relaxed);
-            self.intake.log.say(|| format!("client connection: closed over {error}"));
+            self.intake.log.write(|| format!("client connection: closed over {error}"));
         }
         let Some(connection) = self.connections.remove(&id) else { return };
         if closed_by_us {
@@ -430,14 +430,14 @@
                 Ok(Some((stream, _))) => stream,
                 Ok(None) => return,
                 Err(error) => {
-                    self.intake.log.say(|| format!("accept: {error}"));
+                    self.intake.log.write(|| format!("accept: {error}"));
                     return;
                 }
             };
             let Some(admitted) = self.clients.admit(stream, Protocol::FastCgi) else { continue };
             self.intake.counters.client_connections.fetch_add(1, Relaxed);
             if let Err(error) = self.register(admitted) {
-                self.intake.log.say(|| format!("accept: {error}"));
+                self.intake.log.write(|| format!("accept: {error}"));
             }
         }
     }
