--- a/benchlink/src/wire.rs
+++ b/benchlink/src/wire.rs
@@ -21,7 +21,7 @@
     Ok((record_count, frame_len, clock))
 }
 
-/// Reads values from the front of a byte slice.
+/// Reads values from the start of a byte slice.
 struct Reader<'a> {
     bytes: &'a [u8],
 }
@@ -165,7 +165,9 @@
             *current = Some(instance);
             return Ok(instance);
         }
-        let instance = current.ok_or_else(|| format!("event {code} before any 'for' record"))?;
+        let instance = current.ok_or_else(|| {
+            format!("event of code {code} before any record that selects an instance (code 18)")
+        })?;
         let event = match code {
             16 => {
                 let object = r.u64()?;
--- a/benchlink/tests/frames.rs
+++ b/benchlink/tests/frames.rs
@@ -108,9 +108,9 @@
     let good = frame(&[select_instance(3), start(SETTINGS), request(1)]);
     assert_refused(&good[..7], "header");
     assert_refused(&good[..good.len() - 3], "within a batch");
-    assert_refused(&frame(&[vec![99]]), "before any 'for' record");
+    assert_refused(&frame(&[vec![99]]), "before any record that selects an instance");
     assert_refused(&frame(&[select_instance(1), vec![99]]), "unknown event code 99");
-    assert_refused(&frame(&[request(1)]), "before any 'for' record");
+    assert_refused(&frame(&[request(1)]), "before any record that selects an instance");
     assert_refused(&frame(&[select_instance(1), request(1)[..9].to_vec()]), "truncated record");
     assert_refused(&frame(&[select_instance(1), start("{")]), "JSON");
     assert_refused(&frame(&[select_instance(1), start("{}")]), "RequestClasses");
--- a/core/drain/src/lib.rs
+++ b/core/drain/src/lib.rs
@@ -12,7 +12,8 @@
 
 use std::time::Duration;
 
-/// The platform's maximum wait, without its margin, before it kills a process that it has told to shut down.
+/// The longest request deadline that the platform takes into account when it decides how long to wait before it kills a
+/// process that it has told to shut down.
 pub const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
 /// How long after the shutdown order requests are still admitted, and connections without a request kept open: the
 /// platform continues to send for 0.6 s.
--- a/core/drain/tests/phases.rs
+++ b/core/drain/tests/phases.rs
@@ -96,7 +96,7 @@
     Send,
     BeginPartial,
     SendGarbage,
-    Rest,
+    Idle,
 }
 
 fn client_steps() -> impl Strategy<Value = Vec<ClientStep>> {
@@ -104,7 +104,7 @@
         Just(ClientStep::Send),
         Just(ClientStep::BeginPartial),
         Just(ClientStep::SendGarbage),
-        Just(ClientStep::Rest),
+        Just(ClientStep::Idle),
     ];
     prop::collection::vec(step, 50)
 }
@@ -124,7 +124,7 @@
                 ClientStep::Send if phase.admission() != Admission::Reject => open.push(interval),
                 ClientStep::BeginPartial => activity.partial_requests += 1,
                 ClientStep::SendGarbage => activity.has_partial_input = true,
-                ClientStep::Send | ClientStep::Rest => {}
+                ClientStep::Send | ClientStep::Idle => {}
             }
             open.retain(|since| interval - since < service_intervals && !phase.cuts_off_open_requests());
             activity.has_pending_response = !open.is_empty();
--- a/core/steering/src/lib.rs
+++ b/core/steering/src/lib.rs
@@ -34,6 +34,7 @@
     Draining,
 }
 
+/// Whether a front is selected.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum FrontState {
     /// Selected.
@@ -44,6 +45,7 @@
     Draining { good_since: Option<Ms> },
 }
 
+/// What is known about a front from its reports.
 #[derive(Clone, Copy, Debug)]
 struct FrontStatus {
     state: FrontState,
--- a/front/src/client/bus.rs
+++ b/front/src/client/bus.rs
@@ -288,7 +288,7 @@
         if remaining.is_zero() {
             return Err("silent".into());
         }
-        stream.set_read_timeout(Some(remaining)).map_err(|e| format!("timeout: {e}"))?;
+        stream.set_read_timeout(Some(remaining)).map_err(|e| format!("set read timeout: {e}"))?;
         let received = match stream.read(&mut chunk) {
             // After SIGSTOP and SIGCONT every read with a timeout fails with Interrupted.
             Err(e) if matches!(e.kind(), ErrorKind::Interrupted | ErrorKind::WouldBlock) => continue,
--- a/front/src/client/connection.rs
+++ b/front/src/client/connection.rs
@@ -56,7 +56,7 @@
     pub connect_timeout: Duration,
     /// Checks without a byte received before the first ping.
     pub checks_before_ping: u32,
-    /// A request that has waited longer to be written is no longer written.
+    /// A request that has waited longer than this to be written is no longer written.
     pub max_write_delay: Duration,
     /// Whether this machine lacks a resource that a connection needs.
     pub shortage: Shortage,
@@ -143,7 +143,7 @@
         self.streams().is_closed()
     }
 
-    /// Checks a connection with unanswered attempts: sends a ping, or closes it if it is of no further use.
+    /// Checks a connection with unanswered attempts: sends a ping, or closes it if it no longer works.
     /// Everything in flight on it may have run.
     pub fn check(&self, ping: &Token, ping_line: Option<Vec<u8>>) {
         let mut streams = self.streams();
--- a/front/src/client/pool.rs
+++ b/front/src/client/pool.rs
@@ -30,7 +30,7 @@
     pub probes: bool,
     /// Checks of a silent connection before it is sent a ping.
     pub checks_before_ping: u32,
-    /// A request that has waited longer to be written is no longer written.
+    /// A request that has waited longer than this to be written is no longer written.
     pub max_write_delay: Duration,
 }
 
@@ -39,8 +39,8 @@
 const CHEAP_PROBE_COST: f64 = 0.02;
 
 impl PoolLimits {
-    /// The number of silent checks before a ping of this cost. With many fronts each connection carries only one
-    /// request, so every front would send a ping for each slow answer.
+    /// The number of checks without a byte received before a ping is sent, from the cost of a probe. With many fronts
+    /// each connection carries only one request, so with few checks every front would send a ping for each slow answer.
     pub fn checks_before_ping(cost: Option<f64>) -> u32 {
         let (fewest, most) = (MIN_CHECKS_BEFORE_PING, MAX_CHECKS_BEFORE_PING);
         let cost_ratio = cost.filter(|p| p.is_finite()).map_or(1.0, |p| p / CHEAP_PROBE_COST);
--- a/front/src/client/resolver.rs
+++ b/front/src/client/resolver.rs
@@ -171,7 +171,7 @@
         }
         if let Some(server) = news.strange.and_then(|s| self.resolver.server(s)) {
             eprintln!(
-                "resolver: {shown}: {server} gives an answer that no other gave; not believed for 30 s"
+                "resolver: {shown}: {server} gives an answer that no other server gave; ignored for 30 s"
             );
         }
         if news.changed {
--- a/front/src/client/streams.rs
+++ b/front/src/client/streams.rs
@@ -25,11 +25,11 @@
 /// not read yet.
 pub const MIN_CHECKS_BEFORE_PING: u32 = 4;
 pub const MAX_CHECKS_BEFORE_PING: u32 = 16;
-/// Checks without an answer to a ping after which the connection is of no further use. After as many in the middle of
-/// an answer that nobody awaits, it accepts no new requests.
+/// Number of checks without an answer to a ping after which the connection is considered broken. After as many in the
+/// middle of an answer that nobody awaits, it accepts no new requests.
 const MAX_SILENT_CHECKS: u32 = 4;
-/// Checks in the middle of an answer, or of a line that does not end, after which the connection is of no further
-/// use.
+/// Number of checks in the middle of an answer, or of a line that does not end, after which the connection is
+/// considered broken.
 const MAX_STALLED_CHECKS: u32 = 8;
 /// A request that waits for a peer that accepts no bytes is no longer sent after this fraction of the shortest grace
 /// period (of purges and drains, in the settings): it was decided before purges and drains that may have been
@@ -67,7 +67,7 @@
     }
 }
 
-/// How many other streams a connection may have open for it to accept a request.
+/// The limits on a connection's open streams under which it accepts a request.
 #[derive(Clone, Copy, Debug)]
 pub struct Sharing {
     /// Maximum number of open streams, including this one.
@@ -241,7 +241,8 @@
         id
     }
 
-    /// The id of the next stream: its bytes are queued before it is opened.
+    /// The id that the next stream will get. It is needed before the stream is opened, since its bytes are queued
+    /// first.
     pub fn next_id(&self) -> StreamId {
         StreamId(self.last_id + 1)
     }
--- a/front/src/engine/budget_client.rs
+++ b/front/src/engine/budget_client.rs
@@ -340,9 +340,9 @@
         servers
     }
 
-    /// Records that work was sent to a cache and possibly to a parent. The fraction meant for a server in slow start
-    /// counts as demand on its budget, whichever server got the work: denied work goes elsewhere and would not be
-    /// counted.
+    /// Records that work was sent to a cache and possibly to a parent. The fraction of the work that is meant for
+    /// each server in slow start counts as demand on that server's budget, even if another server got the work:
+    /// otherwise work that the budget denied, and that was therefore sent to another server, would not be counted.
     pub fn note_work_sent(&mut self, with_parent: bool, work: Option<Ms>, priority: Priority) {
         let work = work.unwrap_or(DEFAULT_WORK_MS);
         for server in self.slow_start.values() {
--- a/front/src/engine/cells.rs
+++ b/front/src/engine/cells.rs
@@ -8,7 +8,8 @@
 
 use super::endpoint_set::{Endpoint, EndpointSet};
 
-/// The most routers at a time. Twice as many may be created since the start, including those of removed cells.
+/// Maximum number of routers in use at a time. Twice as many may be created in total since the start, including those
+/// of removed cells.
 const MAX_CELL_ROUTERS: usize = 128;
 
 /// What one router serves: a cell, or the shard of a cell that some shops use.
@@ -24,7 +25,8 @@
 pub struct CellRouting {
     pub cells: Cells,
     scopes: Vec<RouterScope>,
-    /// A name for what each router was created for; the first is the router of the time without cells.
+    /// A name for what each router was created for; the first is the router that is used while no cells are
+    /// configured.
     pub names: Vec<String>,
     /// Requests queued in their cell, and the shop of each.
     pub waiting: HashMap<RequestId, (Request, ShopId)>,
@@ -88,7 +90,7 @@
                 required.push(scope);
             }
             if required.len() > MAX_CELL_ROUTERS {
-                return Err(format!("over {MAX_CELL_ROUTERS} different cells and shards"));
+                return Err(format!("more than {MAX_CELL_ROUTERS} different cells and shards"));
             }
         }
         let count_routers = |cell: CellIx| required.iter().filter(|(c, _)| *c == cell).count();
@@ -106,7 +108,7 @@
         }
         if names.len() > 2 * MAX_CELL_ROUTERS {
             return Err(format!(
-                "over {} cells and shards since the start: restart the front",
+                "more than {} cells and shards since the start: restart the front",
                 2 * MAX_CELL_ROUTERS
             ));
         }
--- a/front/src/engine/reconfigure.rs
+++ b/front/src/engine/reconfigure.rs
@@ -120,7 +120,7 @@
     pub(super) fn undo_move(&mut self, shop: ShopId) {
         let now = self.now;
         if self.cells.as_mut().is_some_and(|cells| cells.cells.undo_move(shop, now)) {
-            eprintln!("cells: a move is undone");
+            eprintln!("cells: the move of a shop was undone");
         }
     }
 }
--- a/front/src/engine/tests.rs
+++ b/front/src/engine/tests.rs
@@ -419,8 +419,8 @@
     }
 }
 
-/// Guards against rejecting a request as unsent while it is being written when half of its time has passed: its
-/// client would retry and the request would run twice.
+/// A request that is still unsent when half of its time has passed is rejected. Guards against rejecting it while it is
+/// being written: its client would retry and the request would run twice.
 #[test]
 fn a_request_written_while_it_is_being_rejected_is_not_rejected() {
     for (written, answers_given) in [(false, 1), (true, 0)] {
--- a/front/src/engine/timers.rs
+++ b/front/src/engine/timers.rs
@@ -42,7 +42,7 @@
     FleetReport,
 }
 
-/// Timers by the moment at which they are due.
+/// Timers ordered by the time at which they are due.
 #[derive(Debug, Default)]
 pub(super) struct TimerQueue(BinaryHeap<Reverse<(u64, Timer)>>);
 
@@ -69,7 +69,7 @@
     }
 }
 
-/// A moment as a number that can be ordered: microseconds of the Unix clock.
+/// Converts a Unix time in milliseconds to whole microseconds, which can be ordered.
 fn to_micros(at: Ms) -> u64 {
     (at * 1000.0).max(0.0) as u64
 }
--- a/front/src/exchange.rs
+++ b/front/src/exchange.rs
@@ -1,5 +1,5 @@
 //! The types shared by the server side, which receives requests, and the client side, which sends them upstream.
-//! Neither side knows the other. An exchange has an identity, an absolute deadline, the attempts in flight and
+//! Neither side depends on the other. An exchange has an identity, an absolute deadline, the attempts in flight and
 //! exactly one final answer.
 
 use std::fmt;
@@ -12,7 +12,8 @@
 
 use elmtide::{ClassId, FillMode, MemberId, Ms, Note, ObjectId, Outcome, PurgeGroup, RequestId, Try};
 
-/// A token of 1 to 64 letters, digits, `-`, `_` and `.`, which needs no escaping in a line of words.
+/// A token of 1 to 64 letters, digits, `-`, `_` and `.`. It can be a word in a line of a text protocol without
+/// escaping.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Token(Box<str>);
 
@@ -243,7 +244,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SendError {
     /// The member's address is unknown.
-    #[error("no address of the server is known")]
+    #[error("the address of the server is unknown")]
     NoAddress,
     /// This process can't open another connection or start a thread for it. It says nothing about the member.
     #[error("this process can't open another connection")]
@@ -278,7 +279,7 @@
     fn probe(&mut self, member: MemberId) -> Result<(), SendError>;
     /// Applies an update of the members' addresses and start times.
     fn update_members(&mut self, members_update: &MembersUpdate);
-    /// Checks connections with unanswered attempts, and closes those that are of no further use.
+    /// Checks connections with unanswered attempts, and closes those that no longer work.
     fn check_connections(&mut self);
     /// Closes connections that have been idle for long.
     fn close_idle(&mut self);
--- a/front/src/fleet/config_error.rs
+++ b/front/src/fleet/config_error.rs
@@ -137,7 +137,7 @@
     #[error(transparent)]
     Io(#[from] io::Error),
     /// Users other than its owner may read the file.
-    #[error("others may read it: its mode must be 0600")]
+    #[error("users other than its owner may read it: its mode must be 0600")]
     ReadableByOthers,
     /// The file is too large for a key.
     #[error("it is too large for a key")]
--- a/front/src/fleet/maintenance_command.rs
+++ b/front/src/fleet/maintenance_command.rs
@@ -35,7 +35,7 @@
         || rest.first().filter(|_| rest.len() == 1).cloned().ok_or(format!("work {what}: name one"));
     let job = || {
         let number = rest.first().and_then(|j| j.parse().ok());
-        number.ok_or(format!("work {what}: the number of a job is wanted"))
+        number.ok_or(format!("work {what}: expected the number of a job"))
     };
     let user = std::env::var("USER").unwrap_or_else(|_| "operator".into());
     Ok(match &what[..] {
--- a/front/src/fleet/maintenance_view.rs
+++ b/front/src/fleet/maintenance_view.rs
@@ -23,7 +23,7 @@
     pub machines: Vec<MachineView>,
     /// Machines that are absent or failing without being in maintenance.
     pub missing: Vec<String>,
-    /// Median duration of the last machines' maintenance, in seconds.
+    /// Median duration of maintenance among the last machines, in seconds.
     pub took_s: Option<f64>,
 }
 
@@ -48,7 +48,7 @@
     pub why: String,
 }
 
-/// A job.
+/// The status of a maintenance job.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct JobView {
     /// Number of the job.
--- a/front/src/fleet/node_store.rs
+++ b/front/src/fleet/node_store.rs
@@ -33,6 +33,7 @@
 /// The result of an attempt to rewrite a failed store.
 type RewriteResult = Result<(Store, RecoveredState), StoreError>;
 
+/// The state of this front's store.
 enum State {
     Absent,
     Open(Store),
--- a/front/src/fleet/operator.rs
+++ b/front/src/fleet/operator.rs
@@ -27,7 +27,7 @@
 /// command waits for its outcome.
 const OPERATOR_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A command of the rest of the process to the fleet's thread.
+/// A command from another thread of the process to the fleet's thread.
 pub enum RunnerCommand {
     /// Leave the fleet, then reply.
     Leave(Sender<()>),
--- a/front/src/fleet/site_command.rs
+++ b/front/src/fleet/site_command.rs
@@ -28,7 +28,7 @@
         }
         ["lost", site] => OperatorRequest::SiteLost { site: site.into() },
         ["clear", site] => OperatorRequest::SiteClear { site: site.into() },
-        _ => return Err("site [lost SITE | clear SITE | plan ...] is all that there is".into()),
+        _ => return Err("usage: site [lost SITE | clear SITE | plan ...]".into()),
     };
     let reply = operator_client::request(path, &request).map_err(|error| error.to_string())?.reply;
     match reply.done {
@@ -67,14 +67,14 @@
             }
             Ok(all_served)
         }
-        _ => Err("site plan [SITE...] [SITE.CLASS=RATE...] is all that there is yet".into()),
+        _ => Err("usage: site plan [SITE...] [SITE.CLASS=RATE...]".into()),
     }
 }
 
 impl SiteDirectory {
     /// Replaces a load of the file by an argument `SITE.CLASS=RATE`.
     fn override_load(&mut self, text: &str) -> Result<(), String> {
-        let invalid = || format!("{text:?}: SITE.CLASS=RATE is wanted");
+        let invalid = || format!("{text:?}: expected SITE.CLASS=RATE");
         let (target, rate) = text.split_once('=').ok_or_else(invalid)?;
         let (site, class) = target.rsplit_once('.').ok_or_else(invalid)?;
         let rate: f64 = rate.parse().map_err(|_| invalid())?;
--- a/front/src/fleet/site_failover.rs
+++ b/front/src/fleet/site_failover.rs
@@ -85,7 +85,7 @@
     pub lease: LeaseSettings,
     /// How long a client may retry a key.
     pub key_lifetime: Ms,
-    /// Longest wait that a client is told whose request the plan rejects.
+    /// Longest wait before a retry that a client is told when the plan rejects its request.
     pub max_wait: Ms,
 }
 
--- a/front/src/fleet/site_watch.rs
+++ b/front/src/fleet/site_watch.rs
@@ -90,7 +90,7 @@
         })
     }
 
-    /// The consequences of the view for clients and keys.
+    /// The site failover state, which decides by this view how clients and keys are handled.
     pub fn failover(&self) -> &Arc<SiteFailover> {
         &self.failover
     }
--- a/front/src/fleet/status_view.rs
+++ b/front/src/fleet/status_view.rs
@@ -113,7 +113,8 @@
 }
 
 impl FleetStatusView {
-    /// Makes the status from the node's and the engine's. `over_limit` datagrams were dropped unread.
+    /// Creates the view from the status of the node and the report of the engine. `over_limit` is the number of
+    /// datagrams that were dropped unread.
     pub fn new(
         status: NodeStatus,
         report: &EngineReport,
--- a/front/src/server/dns.rs
+++ b/front/src/server/dns.rs
@@ -1,5 +1,5 @@
-//! The sockets of the authoritative name server. The answers are decided in `elmtide_dns`; they name addresses of this
-//! fleet only.
+//! The sockets of the authoritative name server. The answers are decided in `elmtide_dns`; they contain only
+//! addresses of this fleet.
 
 mod datagrams;
 mod streams;
--- a/front/src/wire/bus.rs
+++ b/front/src/wire/bus.rs
@@ -39,11 +39,11 @@
 }
 
 fn string_field(value: &Value, key: &str) -> Result<String, String> {
-    value[key].as_str().map(str::to_owned).ok_or_else(|| format!("{key} is missing or no text"))
+    value[key].as_str().map(str::to_owned).ok_or_else(|| format!("{key} is missing or not a string"))
 }
 
 fn number_field(value: &Value, key: &str) -> Result<f64, String> {
-    value[key].as_f64().ok_or_else(|| format!("{key} is missing or no number"))
+    value[key].as_f64().ok_or_else(|| format!("{key} is missing or not a number"))
 }
 
 fn parse_server(value: &Value) -> Result<Server, String> {
@@ -57,7 +57,7 @@
             Some("active") => State::Active,
             Some("leaving") => State::Leaving,
             Some("left") => State::Left,
-            other => return Err(format!("state is {other:?}")),
+            other => return Err(format!("state is missing or unknown: {other:?}")),
         },
         weight: value["weight"].as_f64().unwrap_or(0.0),
         started_ms: value["started_ms"].as_f64().unwrap_or(0.0),
@@ -66,24 +66,28 @@
 
 fn parse_event(value: &Value) -> Result<Event, String> {
     if let Some(topology) = value.get("topology") {
-        let servers = topology["servers"].as_array().ok_or("servers is missing or no list")?;
+        let servers = topology["servers"].as_array().ok_or("servers is missing or not a list")?;
         let servers = servers.iter().map(parse_server).collect::<Result<_, _>>()?;
         return Ok(Event::Topology { full: topology["full"].as_bool().unwrap_or(false), servers });
     }
-    let ban = value.get("ban").ok_or("neither topology nor ban")?;
+    let ban = value.get("ban").ok_or("event is neither topology nor ban")?;
     let ts = number_field(ban, "ts")?;
     if let Some(url) = ban["url"].as_str() {
-        let url = u64::from_str_radix(url, 16).map_err(|_| format!("url is {url:?}"))?;
+        let url = u64::from_str_radix(url, 16)
+            .map_err(|_| format!("url {url:?} is not a 64-bit hexadecimal number"))?;
         return Ok(Event::BanUrl { url, ts });
     }
-    let tag = ban["tag"].as_u64().and_then(|t| u16::try_from(t).ok()).ok_or("ban without url and tag")?;
+    let tag = ban["tag"]
+        .as_u64()
+        .and_then(|t| u16::try_from(t).ok())
+        .ok_or("ban has neither a url nor a valid tag")?;
     Ok(Event::BanTag { tag, ts })
 }
 
 /// Parses a batch. An invalid event is reported by its number and error, so that it does not block the events after it.
 pub fn parse_batch(value: &Value) -> Result<(Batch, Vec<(u64, String)>), String> {
-    let offset = value["offset"].as_u64().ok_or("offset is missing or no number")?;
-    let items = value["batch"].as_array().ok_or("batch is missing or no list")?;
+    let offset = value["offset"].as_u64().ok_or("offset is missing or not a number")?;
+    let items = value["batch"].as_array().ok_or("batch is missing or not a list")?;
     let (mut events, mut invalid) = (Vec::new(), Vec::new());
     for item in items {
         let number = item["offset"].as_u64().ok_or("an event has no offset")?;
--- a/front/tests/cells.rs
+++ b/front/tests/cells.rs
@@ -310,7 +310,7 @@
     assert!(until(|| both(&mut http, &fleet) == BTreeSet::from([0, 1])), "warming");
     let (code, said) = fleet.front.run(&["undo-move", "--control", "control.sock", "one"]).unwrap();
     assert_eq!(code, Some(0), "{said}");
-    fleet.front.log.wait("a move is undone", 0).unwrap();
+    fleet.front.log.wait("the move of a shop was undone", 0).unwrap();
     assert_eq!(both(&mut http, &fleet), BTreeSet::from([0]));
     fleet.front.apply_cells(&slow_file("a")).unwrap();
     fleet.front.apply_cells(&slow_file("b")).unwrap();
--- a/front/tests/second_front.rs
+++ b/front/tests/second_front.rs
@@ -637,7 +637,7 @@
     honest.set(Habits { says: Says::Nothing, ..Habits::default() });
     front.log.wait("known addresses are kept", 0).unwrap();
     liar.set(Habits { says: lie, ..Habits::default() });
-    front.log.wait("not believed", 0).unwrap();
+    front.log.wait("no other server gave; ignored for 30 s", 0).unwrap();
     let since = Instant::now();
     ask_until(&mut http, &mut item, || nodes.iter().all(|n| n.after(since) > 2));
 }
--- a/model/src/schedule.rs
+++ b/model/src/schedule.rs
@@ -122,7 +122,7 @@
         let left = world.agreed_maintenance().map(|s| s.progress().clone());
         report
             .violations
-            .push(format!("machines are still out a minute after everything was healed: {left:?}"));
+            .push(format!("machines are still in maintenance a minute after all faults ended: {left:?}"));
     }
     report
 }
@@ -235,7 +235,7 @@
     let all_serving = |w: &World| (0..count).all(|s| w.site_phase(s) == RecoveryPhase::Serving);
     if !world.run_until(90_000_000, all_serving) {
         let left: Vec<RecoveryPhase> = (0..count).map(|s| world.site_phase(s)).collect();
-        world.record_violation(format!("not all sites serve 90 s after everything was healed: {left:?}"));
+        world.record_violation(format!("not all sites serve 90 s after all faults ended: {left:?}"));
     }
     world.report()
 }
--- a/model/src/setup.rs
+++ b/model/src/setup.rs
@@ -50,7 +50,7 @@
     pub minimums: Vec<(BudgetKind, MinimumRule)>,
     /// Time that a sync of the store takes.
     pub sync_time: Micros,
-    /// Machines that may be taken out for maintenance, if any.
+    /// Machines that may be taken into maintenance, if any.
     pub machines: Option<Machines>,
     /// Number of sites, if they are monitored.
     pub sites: Option<usize>,
@@ -93,7 +93,7 @@
 pub struct Machines {
     /// The machines as the settings have them.
     pub specs: Vec<MachineSpec>,
-    /// Limits on the machines that may be out at the same time.
+    /// Limits on the machines that may be in maintenance at the same time.
     pub disruption_budget: DisruptionBudget,
     /// Start time of each machine in Unix milliseconds, none while it is down.
     pub started_at: BTreeMap<MachineId, Option<u64>>,
@@ -104,7 +104,7 @@
 }
 
 impl Machines {
-    /// `count` machines with `per_location_count` to a location, of which one may be out.
+    /// `count` machines with `per_location_count` to a location, of which one may be in maintenance.
     pub fn new(count: usize, per_location_count: usize) -> Machines {
         let specs: Vec<MachineSpec> = (0..count)
             .map(|n| MachineSpec {
--- a/model/src/world.rs
+++ b/model/src/world.rs
@@ -79,7 +79,7 @@
     /// Outcomes of commands, with time and front.
     pub command_outcomes: Vec<(Micros, usize, CommandOutcome)>,
     last_check_at: Micros,
-    /// Machines that may be taken out for maintenance.
+    /// Machines that may be taken into maintenance.
     pub machines: Option<Machines>,
     /// The latest maintenance state that any voter has applied.
     agreed_maintenance: Option<elmtide_maintenance::MaintenanceState>,
--- a/rules/src/lib.rs
+++ b/rules/src/lib.rs
@@ -22,7 +22,7 @@
 
 /// Time in milliseconds after the announcement of a drain during which a node may still get work.
 pub const DRAIN_GRACE: Ms = 2000.0;
-/// Time in milliseconds after a purge during which older copies may still be answered.
+/// Time in milliseconds after a purge during which older copies may still be served.
 pub const PURGE_GRACE: Ms = 1000.0;
 
 /// An observation of the system under test.
@@ -55,7 +55,7 @@
         /// Time from the start until the node is warm.
         warm_after: Ms,
     },
-    /// A purge of an object was announced. Copies made earlier must no longer be answered.
+    /// A purge of an object was announced. Copies made earlier must no longer be served.
     PurgeAnnounced { object: u64 },
 }
 
@@ -70,7 +70,7 @@
     WorkWhileDraining,
     /// A cold node got more requests than its capacity.
     ColdOverload,
-    /// A copy from before a purge was answered.
+    /// A request was answered with a copy made before the object's purge.
     StaleAfterPurge,
 }
 
@@ -160,7 +160,7 @@
                     self.record_violation(
                         Rule::StaleAfterPurge,
                         at,
-                        format!("object {object:016x} was answered with a copy made before its purge"),
+                        format!("a request for object {object:016x} was answered with a copy made before its purge"),
                     );
                 }
             }
