--- a/front/src/lifecycle/activation.rs
+++ b/front/src/lifecycle/activation.rs
@@ -1,7 +1,7 @@
-//! The start of the second front: its file is put in force as soon as its addresses can be had.
+//! The start of the second front: its file is put in force as soon as its addresses are available.
 //!
-//! An earlier process of ours may still hold them, as may a stranger, and the system may be short of something. The first front
-//! serves meanwhile. What a plan puts in force before that takes the file's place.
+//! An earlier process of this front or another program may still hold them, or the system may be short of resources.
+//! The first front serves in the meantime. A plan applied before that replaces the file.
 
 use std::path::PathBuf;
 use std::sync::{Arc, OnceLock};
@@ -15,19 +15,19 @@
 use crate::memory::counters::Counters;
 use crate::process::spawn_at_start;
 
-/// Between two looks whether an earlier process has gone.
+/// Interval between checks whether an earlier process has exited.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Between two tries to put the file in force: at first, and at most. Each next one is twice as long.
+/// First and maximum delay between attempts to put the file in force; the delay doubles after each attempt.
 const BACKOFF: (Duration, Duration) = (Duration::from_millis(20), Duration::from_secs(1));
-/// An earlier process that gives its addresses up has closed the last of them after so long, or has been killed: until then it
-/// is not worth a line in the log that they are in use.
+/// Time after which an earlier process has closed its last address or has been killed; until then addresses in use are
+/// not logged.
 const ADDRESS_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What it takes to start the second front.
+/// Everything needed to start the second front.
 pub struct Activation {
     /// The second front's file.
     pub file: PathBuf,
-    /// Where plan and apply reach the program.
+    /// Path of the control socket for plan and apply.
     pub control: PathBuf,
     pub edge: Arc<Edge>,
     pub cells: Arc<CellsInForce>,
@@ -35,11 +35,11 @@
 }
 
 impl Activation {
-    /// Puts the file in force, in the background where an address is not to be had at once. `settled` gets the moment from which
-    /// no earlier process has the addresses: the file is in force, or it never will be.
+    /// Puts the file in force, in the background if an address is not available immediately. `settled` is set to the
+    /// time from which no earlier process holds the addresses: the file is in force, or never will be.
     ///
     /// # Errors
-    /// If the thread that waits can't be started.
+    /// If the waiting thread can't be started.
     pub fn begin(self, settled: Arc<OnceLock<Instant>>) -> std::io::Result<()> {
         let has_predecessor = control::taken(&self.control);
         if !has_predecessor {
@@ -75,7 +75,7 @@
     fn try_once(&self) -> Result<(), ApplyError> {
         let nothing = EdgeConfig::default().fingerprint();
         match self.edge.apply(EdgeConfig::load(&self.file)?, Some(&nothing)) {
-            // A plan was quicker, and stays.
+            // A plan was applied first and stays in force.
             Err(ApplyError::Stale) => Ok(()),
             applied => applied.map(drop),
         }
@@ -104,7 +104,7 @@
                 was_reported = true;
             }
             std::thread::sleep(pause);
-            // A process that is about to close its sockets is not waited for longer than it takes.
+            // While an earlier process is closing its sockets, the delay stays short.
             let is_awaited = has_predecessor && begun.elapsed() < ADDRESS_TIMEOUT;
             pause = if is_awaited { BACKOFF.0 } else { (pause * 2).min(BACKOFF.1) };
         }
--- a/front/src/lifecycle/apply_error.rs
+++ b/front/src/lifecycle/apply_error.rs
@@ -6,25 +6,25 @@
 use crate::process::socket_error::{remedy, Call, Remedy};
 use crate::process::transient::is_transient;
 
-/// Why a configuration was not put in force. What was in force before stays.
+/// Why a configuration was not put in force. The previous configuration stays in force.
 #[derive(Debug, thiserror::Error)]
 pub enum ApplyError {
-    /// The file breaks a rule, or something that it names can't be used.
+    /// The file is invalid, or something that it names can't be used.
     #[error("{0}")]
     Rejected(String),
-    /// The plan's idea of what is in force is out of date.
+    /// The plan was made against a configuration that is no longer in force.
     #[error("the plan was made against another state than the one in force")]
     Stale,
     /// An address of the file can't be bound.
     #[error("{listens}: {error}")]
     Address { listens: Listens, error: io::Error },
-    /// What serves an address can't be started.
+    /// The server of an address can't be started.
     #[error("edge: {0}")]
     Start(io::Error),
 }
 
 impl ApplyError {
-    /// Whether the same file may be put in force a while later, without a change to it.
+    /// Whether applying the same file later may succeed.
     pub fn may_pass(&self) -> bool {
         match self {
             ApplyError::Rejected(_) | ApplyError::Stale => false,
--- a/front/src/lifecycle/cells.rs
+++ b/front/src/lifecycle/cells.rs
@@ -1,4 +1,4 @@
-//! The cells that are in force, and putting others there.
+//! The cell configuration in force, and its replacement.
 
 use std::path::Path;
 use std::sync::{Mutex, MutexGuard};
@@ -10,6 +10,7 @@
 use crate::edge::cells::CellsConfig;
 use crate::exchange::Input;
 
+/// The cell configuration in force and the channel by which the engine receives a new one.
 pub struct CellsInForce {
     config: Mutex<CellsConfig>,
     inputs: Sender<Input>,
@@ -29,7 +30,7 @@
         self.lock().clone()
     }
 
-    /// What the file says, at the start. One that can't be used leaves the front without cells, and the log says why.
+    /// Applies the file at startup. If it can't be used, the front runs without cells and logs the reason.
     pub fn start(&self, file: &Path) {
         if file.exists() {
             let applied = CellsConfig::load(file).and_then(|config| self.apply(config, None));
@@ -39,7 +40,7 @@
         }
     }
 
-    /// Whether a plan made against this state could be applied.
+    /// Checks whether a plan made against the state with fingerprint `from` can be applied.
     pub fn check(&self, to: &CellsConfig, from: &str) -> Result<(), String> {
         to.layout(self.longest)?;
         let now = self.lock();
@@ -49,7 +50,7 @@
         }
     }
 
-    /// Puts a configuration in force, whole or not at all; false if it is already.
+    /// Puts a configuration in force, completely or not at all; returns false if it is in force already.
     pub fn apply(&self, to: CellsConfig, from: Option<&str>) -> Result<bool, String> {
         if let Some(from) = from {
             self.check(&to, from)?;
@@ -64,7 +65,7 @@
         Ok(true)
     }
 
-    /// Takes a move of a shop back.
+    /// Reverts the move of a shop.
     pub fn undo(&self, shop: &str) -> Result<(), String> {
         self.inputs.send(Input::UndoMove(ShopId::of(shop))).map_err(|_| "the engine has stopped".into())
     }
--- a/front/src/lifecycle/control.rs
+++ b/front/src/lifecycle/control.rs
@@ -1,4 +1,5 @@
-//! How plan and apply reach the running program: one line of JSON each way over a socket in the file system.
+//! The control socket of a running front, used by plan and apply: one line of JSON in each direction over a Unix
+//! socket.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::os::unix::net::{UnixListener, UnixStream};
@@ -18,9 +19,10 @@
 use crate::process::spawn_at_start;
 use crate::process::transient::retry_at_start;
 
-const PATIENCE: Duration = Duration::from_secs(5);
-const LONGEST: u64 = 1 << 20;
+const READ_TIMEOUT: Duration = Duration::from_secs(5);
+const MAX_REQUEST_BYTES: u64 = 1 << 20;
 
+/// A request to the running program.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum Ask {
     Show,
@@ -30,6 +32,7 @@
     UndoMove(String),
 }
 
+/// The reply of the running program.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum Reply {
     InForce(Box<EdgeConfig>),
@@ -39,16 +42,16 @@
     Refused(String),
 }
 
-/// Where the program of this name listens, if nothing else is said.
+/// Default control socket path of the front with this name.
 pub fn usual_path(name: &str) -> PathBuf {
     std::env::temp_dir().join(format!("elmtide-{name}.sock"))
 }
 
-/// Asks the running program.
+/// Sends a request to the running program and returns its reply.
 pub fn ask(path: &Path, ask: &Ask) -> Result<Reply, String> {
     let failed = |e: std::io::Error| format!("{}: {e}", path.display());
     let mut stream = UnixStream::connect(path).map_err(failed)?;
-    stream.set_read_timeout(Some(PATIENCE)).map_err(failed)?;
+    stream.set_read_timeout(Some(READ_TIMEOUT)).map_err(failed)?;
     let line = serde_json::to_string(ask).map_err(|e| e.to_string())?;
     stream.write_all(format!("{line}\n").as_bytes()).map_err(failed)?;
     let mut answer = String::new();
@@ -56,19 +59,19 @@
     serde_json::from_str(&answer).map_err(|e| format!("the program's answer can't be read: {e}"))
 }
 
-/// Whether a running program listens there.
+/// Whether a running program listens at this path.
 pub fn taken(path: &Path) -> bool {
     UnixStream::connect(path).is_ok()
 }
 
-/// Answers one after the other: two plans are never applied at once.
+/// Serves control requests one at a time, so that two plans are never applied at once.
 pub fn listen(
     path: &Path,
     edge: Arc<Edge>,
     cells: Arc<CellsInForce>,
     counters: Arc<Counters>,
 ) -> Result<(), String> {
-    // What an earlier process left behind, if nobody answers there.
+    // Removes the socket file of an earlier process if no program answers there.
     if !taken(path) {
         let _ = std::fs::remove_file(path);
     }
@@ -91,9 +94,9 @@
     cells: &CellsInForce,
     counters: &Counters,
 ) -> Result<(), String> {
-    stream.set_read_timeout(Some(PATIENCE)).map_err(|e| e.to_string())?;
+    stream.set_read_timeout(Some(READ_TIMEOUT)).map_err(|e| e.to_string())?;
     let mut line = String::new();
-    let got = BufReader::new((&stream).take(LONGEST)).read_line(&mut line);
+    let got = BufReader::new((&stream).take(MAX_REQUEST_BYTES)).read_line(&mut line);
     got.map_err(|e| e.to_string())?;
     let reply = match serde_json::from_str(&line) {
         Err(why) => Reply::Refused(format!("not understood: {why}")),
@@ -113,7 +116,8 @@
     stream.write_all(text.as_bytes()).map_err(|e| e.to_string())
 }
 
-/// Both files or none: the cells are checked before the edge, which may still find an address taken, is changed.
+/// Applies both files or neither: the cells are checked before the edge is changed, which may still fail because an
+/// address is in use.
 fn apply(plan: Plan, edge: &Edge, cells: &CellsInForce) -> Result<bool, String> {
     if let Some(wanted) = &plan.cells {
         cells.check(&wanted.to, &wanted.from)?;
--- a/front/src/lifecycle/edge.rs
+++ b/front/src/lifecycle/edge.rs
@@ -1,5 +1,5 @@
-//! The second front, DNS-based request routing: how one configuration takes the place of another, and what changes
-//! by itself while it is in force.
+//! The second front, DNS-based request routing: replacing one configuration by another, and the state that changes
+//! while a configuration is in force.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -35,14 +35,16 @@
 use crate::server::dns::{DnsContext, DnsSockets};
 use crate::server::http;
 
-/// The state of the fronts is looked at so often.
-const LOOK: Duration = Duration::from_millis(100);
-/// What is shed is reckoned over so long, of so many requests at least.
-const SHED_OVER: (Ms, u64) = (2000.0, 20);
-/// Changes of the fronts that are remembered while keys change hands.
-const FORMERS: usize = 16;
-/// A serial that could not be saved is tried again after so long.
-const SERIAL_RETRY: Ms = 1000.0;
+/// Interval between updates of the state of the fronts.
+const WATCH_INTERVAL: Duration = Duration::from_millis(100);
+/// Window over which the shed fraction is computed.
+const SHED_WINDOW_MS: Ms = 2000.0;
+/// Minimum number of requests in the window for a shed fraction.
+const SHED_MIN_REQUESTS: u64 = 20;
+/// Maximum number of earlier configurations kept while keys are handed over.
+const MAX_FORMER_CONFIGS: usize = 16;
+/// Delay before saving a serial is retried.
+const SERIAL_RETRY_INTERVAL_MS: Ms = 1000.0;
 
 enum Bound {
     Dns(DnsSockets),
@@ -57,24 +59,24 @@
 impl Listener {
     fn stop(&self) {
         self.stop.store(true, Relaxed);
-        // Wakes the thread that waits in accept.
+        // Wakes the thread that is blocked in accept.
         let _ = std::net::TcpStream::connect(self.at);
     }
 }
 
-/// What changes while a configuration is in force.
+/// State that changes while a configuration is in force.
 struct Live {
     steering: Option<Steering>,
     peers: Option<Peers>,
     notifier: Option<Notifier>,
     kept: Option<StoredSerial>,
-    /// The serial could not be saved: when that is tried again.
+    /// When to retry saving a serial that could not be saved.
     unsaved_serial: Option<Ms>,
     secret: SecretSource,
-    /// The process has been told to end.
+    /// The process has been told to exit.
     ending: bool,
-    /// Requests taken and refused at moments of the last while.
-    counted: Vec<(Ms, u64, u64)>,
+    /// Recent samples: time, requests accepted and requests refused.
+    request_samples: Vec<(Ms, u64, u64)>,
     own: Condition,
 }
 
@@ -87,7 +89,7 @@
     dns: Arc<DnsContext>,
     site: Arc<http::HttpContext>,
     counters: Arc<Counters>,
-    /// How long a key is left alone after it has changed hands, where the file does not say.
+    /// Determines the hold time of a key after its handover, if the file does not set it.
     longest: Longest,
 }
 
@@ -112,7 +114,7 @@
             unsaved_serial: None,
             secret: SecretSource::own(),
             ending: false,
-            counted: Vec::new(),
+            request_samples: Vec::new(),
             own: Condition::NotReady,
         };
         Arc::new(Edge {
@@ -135,11 +137,11 @@
         self.live.lock().unwrap_or_else(|p| p.into_inner())
     }
 
-    /// Puts a configuration in force, whole or not at all; false if it is already. The second must hold: it was
-    /// made against what is in force.
+    /// Puts a configuration in force, completely or not at all; returns false if it is in force already. `from`, if
+    /// given, must be the fingerprint of the configuration in force.
     ///
     /// # Errors
-    /// Why it is not in force; nothing has changed then.
+    /// If it was not put in force; nothing has changed then.
     pub fn apply(&self, to: EdgeConfig, from: Option<&str>) -> Result<bool, ApplyError> {
         let mut listeners = self.listeners.lock().unwrap_or_else(|p| p.into_inner());
         let before = self.in_force();
@@ -151,7 +153,7 @@
         }
         to.check()?;
         let mut live = self.live();
-        // All that can fail comes before anything is changed.
+        // Every step that can fail comes before the first change.
         let next = self.prepare(&live, &to)?;
         let own = to.front.iter().find(|f| f.name == self.name).cloned().unwrap_or_default();
         let dns = own.dns.into_iter().map(Listens::Dns);
@@ -165,7 +167,7 @@
             let sockets = got.map_err(|error| ApplyError::Address { listens: *listens, error })?;
             bound.push((*listens, sockets));
         }
-        // What comes before the next state is in force waits in the sockets.
+        // Packets and connections that arrive before the next state is in force wait in the sockets.
         let gate = StartGate::default();
         let started = self.start_all(bound, &gate)?;
         self.put_in_force(&mut live, next);
@@ -186,7 +188,7 @@
         Ok(true)
     }
 
-    /// Everything of the next state that can go wrong.
+    /// Prepares the next state; all steps that can fail are here.
     fn prepare(&self, live: &Live, to: &EdgeConfig) -> Result<Next, String> {
         let now = clock::steady_ms();
         let current = self.in_force.now();
@@ -196,7 +198,7 @@
         if !current.config.is_off() && current.config.front != to.front {
             let hold = to.hand_over_s.map_or(self.longest.ms() * LIVES, |s| s * 1000.0);
             former.push(FormerFronts { config: current.config.clone(), until: now + hold });
-            if former.len() > FORMERS {
+            if former.len() > MAX_FORMER_CONFIGS {
                 return Err("the fronts change too often: keys are still changing hands".into());
             }
         }
@@ -262,7 +264,7 @@
         self.report_file(&mut steering, to, now);
         let own = to.front.iter().find(|f| f.name == self.name);
         if let Some(own) = own.filter(|o| o.state == FrontState::Draining) {
-            // A plan that touches something else does not begin the time anew.
+            // A plan that changes something else does not restart this time.
             state.drain_grace_until = current.drain_grace_until.or(Some(now + own.cling_s * 1000.0));
         }
         let others = to.front.iter().enumerate().filter(|(_, f)| f.name != self.name);
@@ -277,7 +279,7 @@
         let mut nsid: Vec<u8> = self.name.clone().into();
         nsid.truncate(NSID);
         state.limits = to.rate_limit.limits();
-        // Each thread has a limiter of its own, and the system spreads a client's queries over them.
+        // Each thread has its own limiter, and the system distributes a client's queries over the threads.
         let threads = to.udp_threads() as f64;
         for rate in [
             &mut state.limits.answers,
@@ -303,7 +305,7 @@
         Ok(Next { state, kept: Some(kept), steering: Some(steering), peers, notifier: Some(notifier), file })
     }
 
-    /// What the file says of fronts. Those that are not asked how they are serve.
+    /// Reports the front states set in the file. Fronts that are not queried count as serving.
     fn report_file(&self, steering: &mut Steering, config: &EdgeConfig, now: Ms) {
         for (place, front) in config.front.iter().enumerate() {
             let id = FrontId(place as u16);
@@ -320,7 +322,7 @@
         if let (Some(kept), Some(path)) = (&next.kept, &next.state.config.serial_file) {
             if let Err(why) = kept.save(path) {
                 eprintln!("edge: the serial is not kept: {why}; trying again until it is");
-                live.unsaved_serial = Some(clock::steady_ms() + SERIAL_RETRY);
+                live.unsaved_serial = Some(clock::steady_ms() + SERIAL_RETRY_INTERVAL_MS);
             }
         }
         (live.kept, live.steering, live.peers, live.notifier) =
@@ -340,7 +342,7 @@
         }
     }
 
-    /// Starts the threads of all these sockets, or of none. They serve once the gate is open.
+    /// Starts the threads of all these sockets, or of none. They serve after the gate opens.
     fn start_all(
         &self,
         bound: Vec<(Listens, Bound)>,
@@ -352,7 +354,7 @@
                 Ok(listener) => started.push((listens, listener)),
                 Err(error) => {
                     started.iter().for_each(|(_, listener)| listener.stop());
-                    // Threads that wait there see that they are to end.
+                    // Threads waiting at the gate then see that they must stop.
                     gate.open();
                     return Err(ApplyError::Start(error));
                 }
@@ -373,34 +375,34 @@
                 at.and_then(|at| http::start(listener, &self.site, &stop, gate).map(|()| at))
             }
         };
-        // Some of the threads may run already, and would hold the address.
+        // Some threads may already run and would keep the address bound.
         let at = started.inspect_err(|_| stop.store(true, Relaxed))?;
         Ok(Listener { stop, at })
     }
 
-    /// Starts what goes on by itself: how the fronts are, cookies, notices.
+    /// Starts the background work: state of the fronts, cookie secrets, notifications.
     pub fn watch(self: &Arc<Self>) -> std::io::Result<()> {
         let edge = self.clone();
-        // The threads of one front ask and tell by the same sockets for good.
+        // Queries and notifications of this front use the same sockets permanently.
         let sockets = PeerSockets::bind()?;
         let run = move || loop {
             let look = || edge.look(&sockets);
             if std::panic::catch_unwind(std::panic::AssertUnwindSafe(look)).is_err() {
                 eprintln!("edge: a panic in the watch of the fronts");
             }
-            sockets.wait(LOOK);
+            sockets.wait(WATCH_INTERVAL);
         };
         spawn("edge-watch", run).map(drop)
     }
 
-    /// The process ends: from the next answer on it is not named.
+    /// The process is exiting: DNS answers omit it from now on.
     pub fn end(&self) {
         let mut live = self.live();
         live.ending = true;
         self.refresh(&mut live, clock::steady_ms());
     }
 
-    /// Gives all addresses up: those who are on a connection are answered, nobody new is taken.
+    /// Closes all listeners: open connections are still served, new ones are not accepted.
     pub fn leave(&self) {
         let mut listeners = self.listeners.lock().unwrap_or_else(|p| p.into_inner());
         std::mem::take(&mut *listeners).values().for_each(Listener::stop);
@@ -418,7 +420,7 @@
         self.refresh(&mut live, now);
     }
 
-    /// Tries again to save a serial: without it the next process might begin with an earlier one, which secondaries ignore.
+    /// Retries saving a serial: otherwise the next process might start with an earlier one, which secondaries ignore.
     fn save_serial(&self, live: &mut Live, now: Ms) {
         if live.unsaved_serial.is_none_or(|retry_at| now < retry_at) {
             return;
@@ -430,26 +432,27 @@
                 eprintln!("edge: the serial is kept");
                 None
             }
-            Err(_) => Some(now + SERIAL_RETRY),
+            Err(_) => Some(now + SERIAL_RETRY_INTERVAL_MS),
         };
     }
 
-    /// The part of the requests that was turned away of late.
+    /// The fraction of recent requests that was refused.
     fn shed(&self, live: &mut Live, now: Ms) -> f64 {
         let refused = self.counters.refused.load(Relaxed) + self.counters.refused_early.load(Relaxed);
         let taken = self.counters.taken.load(Relaxed) + self.counters.refused_early.load(Relaxed);
-        live.counted.retain(|(at, ..)| now - at <= SHED_OVER.0 && *at <= now);
-        let (_, taken_then, refused_then) = live.counted.first().copied().unwrap_or((now, taken, refused));
-        live.counted.push((now, taken, refused));
+        live.request_samples.retain(|(at, ..)| now - at <= SHED_WINDOW_MS && *at <= now);
+        let (_, taken_then, refused_then) =
+            live.request_samples.first().copied().unwrap_or((now, taken, refused));
+        live.request_samples.push((now, taken, refused));
         let (asked, turned) = (taken.saturating_sub(taken_then), refused.saturating_sub(refused_then));
-        if asked < SHED_OVER.1 {
+        if asked < SHED_MIN_REQUESTS {
             0.0
         } else {
             (turned as f64 / asked as f64).min(1.0)
         }
     }
 
-    /// Puts in force what has changed by itself.
+    /// Puts in force what has changed since the last update.
     fn refresh(&self, live: &mut Live, now: Ms) {
         let current = self.in_force.now();
         let Some(served) = &current.served else { return };
@@ -457,7 +460,7 @@
         let drains = config.front.iter().any(|f| f.name == self.name && f.state == FrontState::Draining);
         let shed = self.shed(live, now);
         let leaves = live.ending || drains || self.counters.mode.is_leaving();
-        // An operator's pause takes a front out of the answers as long as another is left.
+        // A paused front is omitted from the answers while another front is left.
         let is_paused = self.counters.mode.state() == ProcessState::Paused;
         let is_ready = self.counters.ready.load(Relaxed) && !is_paused;
         live.own = match (leaves, is_ready) {
@@ -487,7 +490,7 @@
     }
 }
 
-/// Where clients of the file's branches go by the plan in force, for branches that are sites and not whole.
+/// Where the plan in force sends clients of the file's branches, for branches that are sites with reduced capacity.
 fn failover_routes(failover: &SiteFailover, config: &EdgeConfig) -> Vec<(BranchId, FailoverRoute)> {
     let current = failover.current();
     let place = |branch: usize| {
@@ -503,20 +506,20 @@
     away.collect()
 }
 
-/// The record by which other fronts learn how this one is.
+/// The DNS record from which other fronts read the condition of this one.
 fn own_state(zone: &Zone, own: Condition) -> (Box<[u8]>, Box<[u8]>) {
     let words = peers::words(own);
     let data = [&[words.len() as u8], words.as_bytes()].concat();
     ([peers::LABEL, &zone.origin].concat().into(), data.into())
 }
 
-/// A state that is ready to come into force.
+/// A state that is ready to be put in force.
 struct Next {
     state: State,
     kept: Option<StoredSerial>,
     steering: Option<Steering>,
     peers: Option<Peers>,
     notifier: Option<Notifier>,
-    /// When the secrets' file was changed, where there is one.
+    /// Modification time of the secrets file, if one is used.
     file: Option<Option<SystemTime>>,
 }
--- a/front/src/lifecycle/handover.rs
+++ b/front/src/lifecycle/handover.rs
@@ -1,9 +1,10 @@
-//! What the process after this one is told of the signups that ran here: a file in `$TMPDIR`.
+//! Passes the signups that ran in this process to the next one, in a file in `$TMPDIR`.
 //!
-//! The file says who may take signups (`Open`), or what whoever took them last knew when it ended (`Sealed`). A
-//! process writes its own `Open` before its first signup, and its seal only over its own `Open`, both under a lock
-//! and by rename. So a seal that is there is that of the last process that took signups, whatever was killed or
-//! stopped at which step. It rests on that lock and on rename; on no clock, and on no guess who lives.
+//! The file names the process that may accept signups (`Open`), or holds the ledger of the last process that did, as
+//! of its end (`Sealed`). A process writes its own `Open` before its first signup, and its seal only over its own
+//! `Open`, both under a lock and by rename. A seal that is present therefore always comes from the last process that
+//! accepted signups, no matter which process was killed or stopped at which step. This depends only on the lock and
+//! on rename, not on a clock or on detecting live processes.
 
 use std::fs::{self, File, OpenOptions, TryLockError};
 use std::io::{self, Read};
@@ -19,41 +20,41 @@
 use crate::process::clock::BootMoment;
 use crate::process::{clock, durable_file};
 
-/// The first bytes of the file: what it is and its version.
+/// The first bytes of the file: type and version.
 const MAGIC: &[u8; 18] = b"elmtide-signups 1\n";
-/// Behind them the checksum of the rest.
-const HEAD: usize = MAGIC.len() + 4;
-const LONGEST: u64 = 8 << 20;
-/// A seal is tried for so long where another process holds the lock.
-const SEAL_FOR: Duration = Duration::from_millis(200);
-const TURN: Duration = Duration::from_millis(20);
+/// Length of the header: magic bytes and the checksum of the rest.
+const HEADER_BYTES: usize = MAGIC.len() + 4;
+const MAX_FILE_BYTES: u64 = 8 << 20;
+/// How long sealing waits for a lock that another process holds.
+const SEAL_LOCK_TIMEOUT: Duration = Duration::from_millis(200);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// One run of the program, by a number nobody else has.
+/// One run of the program, identified by a unique number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Run(pub u64);
 
-/// What the file says. Versions of the program before this one write and read the first two.
+/// The content of the file. Older versions of the program write and read only the first two variants.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
-enum Word {
+enum HandoverRecord {
     Open(Run),
-    /// The moment of the seal is on the time line of whoever sealed it.
+    /// The seal time is on the time line of the sealing process.
     Sealed(Run, Sealed),
-    /// With the moment of the seal by the clock that both processes share.
+    /// With the seal time on the clock that both processes share.
     SealedAt(Run, Sealed, BootMoment),
 }
 
-impl Word {
-    fn sealed(run: Run, sealed: Sealed, sealed_at: Option<BootMoment>) -> Word {
+impl HandoverRecord {
+    fn sealed(run: Run, sealed: Sealed, sealed_at: Option<BootMoment>) -> HandoverRecord {
         match sealed_at {
-            Some(moment) => Word::SealedAt(run, sealed, moment),
-            None => Word::Sealed(run, sealed),
+            Some(moment) => HandoverRecord::SealedAt(run, sealed, moment),
+            None => HandoverRecord::Sealed(run, sealed),
         }
     }
 }
 
-/// A seal as this process has to read it. Each process counts its time from the Unix time of its own start: where the wall clock
-/// was stepped between the two starts, only the clock that both share tells how old the seal is. After a start of the machine there
-/// is none, and the two time lines are taken for one.
+/// Converts a seal to the time line of this process. Each process counts time from the Unix time of its own start: if
+/// the wall clock was stepped between the two starts, only the shared clock gives the age of the seal. After a reboot
+/// there is no shared clock, and both time lines are assumed to be the same.
 fn on_own_time_line(sealed: Sealed, sealed_at: Option<&BootMoment>, now: Ms) -> Sealed {
     let age = sealed_at.zip(BootMoment::now()).and_then(|(at, now)| at.until(&now));
     match age {
@@ -62,44 +63,44 @@
     }
 }
 
-/// Why there is no word that can be used.
+/// Why the file has no usable record.
 #[derive(Debug)]
-enum Unread {
+enum ReadError {
     Absent,
     Io(io::Error),
-    /// Of somebody else, or open to others.
-    NotOurs,
+    /// Owned by another user, writable by others, or not a regular file.
+    Untrusted,
     TooLong,
-    /// Torn, of another version, or no such file.
-    Spoilt,
+    /// Truncated, of another version, or another kind of file.
+    Corrupt,
 }
 
-impl std::fmt::Display for Unread {
+impl std::fmt::Display for ReadError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Unread::Absent => write!(f, "there is none"),
-            Unread::Io(why) => write!(f, "{why}"),
-            Unread::NotOurs => write!(f, "it is no file of ours, or others may write it"),
-            Unread::TooLong => write!(f, "it is over {LONGEST} bytes"),
-            Unread::Spoilt => write!(f, "it is torn or of another version"),
+            ReadError::Absent => write!(f, "there is none"),
+            ReadError::Io(why) => write!(f, "{why}"),
+            ReadError::Untrusted => write!(f, "it is no file of ours, or others may write it"),
+            ReadError::TooLong => write!(f, "it is over {MAX_FILE_BYTES} bytes"),
+            ReadError::Corrupt => write!(f, "it is torn or of another version"),
         }
     }
 }
 
-fn encode(word: &Word) -> Option<Vec<u8>> {
+fn encode(record: &HandoverRecord) -> Option<Vec<u8>> {
     let mut bytes = [&MAGIC[..], &[0; 4]].concat();
-    bytes.extend(postcard::to_allocvec(word).ok()?);
-    let sum = crc32c::crc32c(&bytes[HEAD..]);
-    bytes[MAGIC.len()..HEAD].copy_from_slice(&sum.to_le_bytes());
-    (bytes.len() as u64 <= LONGEST).then_some(bytes)
+    bytes.extend(postcard::to_allocvec(record).ok()?);
+    let sum = crc32c::crc32c(&bytes[HEADER_BYTES..]);
+    bytes[MAGIC.len()..HEADER_BYTES].copy_from_slice(&sum.to_le_bytes());
+    (bytes.len() as u64 <= MAX_FILE_BYTES).then_some(bytes)
 }
 
-fn decode(bytes: &[u8]) -> Option<Word> {
+fn decode(bytes: &[u8]) -> Option<HandoverRecord> {
     let (magic, rest) = bytes.split_at_checked(MAGIC.len())?;
     let (sum, body) = rest.split_at_checked(4)?;
     let whole = magic == MAGIC && crc32c::crc32c(body).to_le_bytes() == sum;
-    let (word, left) = postcard::take_from_bytes(body).ok().filter(|_| whole)?;
-    left.is_empty().then_some(word)
+    let (record, left) = postcard::take_from_bytes(body).ok().filter(|_| whole)?;
+    left.is_empty().then_some(record)
 }
 
 /// The user of this process.
@@ -107,39 +108,39 @@
     Ok(fs::metadata("/proc/self")?.uid())
 }
 
-fn read(path: &Path) -> Result<Word, Unread> {
+fn read(path: &Path) -> Result<HandoverRecord, ReadError> {
     let named = match fs::symlink_metadata(path) {
         Ok(named) => named,
-        Err(e) if e.kind() == io::ErrorKind::NotFound => return Err(Unread::Absent),
-        Err(e) => return Err(Unread::Io(e)),
+        Err(e) if e.kind() == io::ErrorKind::NotFound => return Err(ReadError::Absent),
+        Err(e) => return Err(ReadError::Io(e)),
     };
-    let user = own_user().map_err(Unread::Io)?;
+    let user = own_user().map_err(ReadError::Io)?;
     if !named.is_file() || named.uid() != user || named.mode() & 0o022 != 0 {
-        return Err(Unread::NotOurs);
+        return Err(ReadError::Untrusted);
     }
-    if named.len() > LONGEST {
-        return Err(Unread::TooLong);
+    if named.len() > MAX_FILE_BYTES {
+        return Err(ReadError::TooLong);
     }
-    let file = File::open(path).map_err(Unread::Io)?;
-    let opened = file.metadata().map_err(Unread::Io)?;
+    let file = File::open(path).map_err(ReadError::Io)?;
+    let opened = file.metadata().map_err(ReadError::Io)?;
     if (opened.dev(), opened.ino()) != (named.dev(), named.ino()) {
-        return Err(Unread::NotOurs);
+        return Err(ReadError::Untrusted);
     }
     let mut bytes = Vec::new();
-    file.take(LONGEST + 1).read_to_end(&mut bytes).map_err(Unread::Io)?;
-    decode(&bytes).ok_or(Unread::Spoilt)
+    file.take(MAX_FILE_BYTES + 1).read_to_end(&mut bytes).map_err(ReadError::Io)?;
+    decode(&bytes).ok_or(ReadError::Corrupt)
 }
 
-/// How the ledger came to be open.
+/// How the ledger was opened.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Opened {
-    /// The process before had sealed so many keys.
+    /// With this number of keys sealed by the previous process.
     TakenOver(usize),
-    /// Nothing is known of it, and its clients have given up.
+    /// Without its content, after its clients have given up.
     Waited,
 }
 
-/// The way to the process after this one.
+/// The handover file of this process.
 #[derive(Clone, Debug)]
 pub struct Handover {
     path: PathBuf,
@@ -147,7 +148,7 @@
 }
 
 impl Handover {
-    /// Where `$TMPDIR` is not set, nothing is passed on.
+    /// `None` if `$TMPDIR` is not set or the name is unsuitable for a file: nothing is passed on then.
     pub fn from_env(name: &str, run: Run) -> Option<Handover> {
         let folder = std::env::var_os("TMPDIR").filter(|t| !t.is_empty())?;
         let plain =
@@ -159,7 +160,7 @@
         Handover { path: folder.join(format!("elmtide-{name}.signups")), run }
     }
 
-    /// The lock under which the file is read and put in place; `None` where another process has it.
+    /// Takes the lock under which the file is read and replaced; `None` if another process holds it.
     fn lock(&self) -> io::Result<Option<File>> {
         let at = self.path.with_extension("signups-lock");
         let file = OpenOptions::new().write(true).create(true).truncate(false).mode(0o600).open(at)?;
@@ -170,23 +171,23 @@
         }
     }
 
-    /// Whole or not at all.
-    fn put(&self, word: &Word) -> io::Result<()> {
-        let bytes = encode(word).ok_or(io::ErrorKind::FileTooLarge)?;
-        let beside = self.path.with_extension(format!("signups-{:016x}", self.run.0));
-        durable_file::replace(&self.path, &beside, durable_file::PRIVATE, &bytes)
+    /// Writes the file completely or not at all.
+    fn put(&self, record: &HandoverRecord) -> io::Result<()> {
+        let bytes = encode(record).ok_or(io::ErrorKind::FileTooLarge)?;
+        let temporary = self.path.with_extension(format!("signups-{:016x}", self.run.0));
+        durable_file::replace(&self.path, &temporary, durable_file::PRIVATE, &bytes)
     }
 
-    /// Opens the ledger if the process before has sealed what it knew, or if `waited` says that its clients have given
-    /// up by now. `None`: not yet.
+    /// Opens the ledger if the previous process has sealed its own, or if `waited` says that the clients of that
+    /// process have given up. Returns `None` if it is too early.
     pub fn open(&self, ledger: &Ledger, waited: bool) -> io::Result<Option<Opened>> {
         let Some(_locked) = self.lock()? else { return Ok(None) };
         let found = read(&self.path);
-        let open = Word::Open(self.run);
+        let open = HandoverRecord::Open(self.run);
         let seal = match found {
-            Ok(Word::Sealed(of, sealed)) => Some((of, sealed, None)),
-            Ok(Word::SealedAt(of, sealed, at)) => Some((of, sealed, Some(at))),
-            Ok(Word::Open(_)) | Err(Unread::Absent) => None,
+            Ok(HandoverRecord::Sealed(of, sealed)) => Some((of, sealed, None)),
+            Ok(HandoverRecord::SealedAt(of, sealed, at)) => Some((of, sealed, Some(at))),
+            Ok(HandoverRecord::Open(_)) | Err(ReadError::Absent) => None,
             Err(ref why) if waited => {
                 eprintln!("ledger: {} is not used: {why}", self.path.display());
                 None
@@ -194,7 +195,7 @@
             Err(_) => None,
         };
         if let Some((of, sealed, at)) = seal {
-            // Nobody after us may take this seal: it will not know of what we run.
+            // No later process may take this seal, because it does not contain what this process runs.
             self.put(&open)?;
             let now = clock::steady_ms();
             match ledger.take_over(on_own_time_line(sealed, at.as_ref(), now), now) {
@@ -206,51 +207,51 @@
             return Ok(None);
         }
         match self.put(&open) {
-            // What is not ours is never taken by a process of ours, so no seal can be there that misleads one.
-            Err(_) if matches!(read(&self.path), Err(Unread::NotOurs)) => {}
+            // Processes of this program never read an untrusted file, so it can't hold a seal that misleads one.
+            Err(_) if matches!(read(&self.path), Err(ReadError::Untrusted)) => {}
             put => put?,
         }
         ledger.open();
         Ok(Some(Opened::Waited))
     }
 
-    /// Ends the taking of signups and leaves what the ledger knows. Gives the number of bytes; `None` where another process
-    /// has taken over meanwhile.
+    /// Stops accepting signups and writes the content of the ledger. Returns the number of bytes, or `None` if another
+    /// process has taken over in the meantime.
     pub fn seal(&self, ledger: &Ledger) -> io::Result<Option<usize>> {
         let sealed_at = BootMoment::now();
         let sealed = ledger.seal(clock::steady_ms());
-        let until = Instant::now() + SEAL_FOR;
+        let until = Instant::now() + SEAL_LOCK_TIMEOUT;
         let _locked = loop {
             match self.lock()? {
                 Some(locked) => break locked,
-                None if Instant::now() < until => std::thread::sleep(TURN),
+                None if Instant::now() < until => std::thread::sleep(POLL_INTERVAL),
                 None => return Err(io::ErrorKind::WouldBlock.into()),
             }
         };
-        if !matches!(read(&self.path), Ok(Word::Open(run)) if run == self.run) {
+        if !matches!(read(&self.path), Ok(HandoverRecord::Open(run)) if run == self.run) {
             return Ok(None);
         }
-        let word = Word::sealed(self.run, sealed, sealed_at);
-        self.put(&word)?;
-        Ok(encode(&word).map(|bytes| bytes.len()))
+        let record = HandoverRecord::sealed(self.run, sealed, sealed_at);
+        self.put(&record)?;
+        Ok(encode(&record).map(|bytes| bytes.len()))
     }
 }
 
-/// Opens the ledger as soon as that is safe: `since` gives when this process became the only one that its clients
-/// can reach, once it has.
+/// Opens the ledger as soon as that is safe. `since` returns when this process became the only one that its clients
+/// can reach, or `None` before that.
 pub fn open_when_safe(
     ledger: &Arc<Ledger>,
     handover: Option<&Handover>,
     closed: Duration,
     since: impl Fn() -> Option<Instant>,
 ) {
-    let mut told = false;
+    let mut was_reported = false;
     loop {
         let waited = since().is_some_and(|since| since.elapsed() >= closed);
         match handover.map(|h| h.open(ledger, waited)) {
             None if waited => ledger.open(),
             None | Some(Ok(None)) => {
-                std::thread::sleep(TURN);
+                std::thread::sleep(POLL_INTERVAL);
                 continue;
             }
             Some(Ok(Some(Opened::TakenOver(keys)))) => {
@@ -258,12 +259,12 @@
             }
             Some(Ok(Some(Opened::Waited))) => {}
             Some(Err(why)) => {
-                if !std::mem::replace(&mut told, true) {
+                if !std::mem::replace(&mut was_reported, true) {
                     eprintln!(
                         "ledger: closed, signups are refused: the file in TMPDIR can't be written: {why}"
                     );
                 }
-                std::thread::sleep(TURN * 10);
+                std::thread::sleep(POLL_INTERVAL * 10);
                 continue;
             }
         }
--- a/front/src/lifecycle/handover/tests.rs
+++ b/front/src/lifecycle/handover/tests.rs
@@ -32,8 +32,8 @@
     }
 }
 
-/// Opens it. Other tests of this process start programs: until such a one runs it holds every lock that was held when
-/// it was started, so the lock may be free a moment later than its holder gave it back.
+/// Opens the ledger, with retries. Other tests of this process start programs: until exec a child holds every lock that
+/// was held at the fork, so the lock may become free slightly after its holder has released it.
 fn opened(handover: &Handover, ledger: &Ledger, waited: bool) -> Opened {
     let until = Instant::now() + Duration::from_secs(20);
     loop {
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_seal_is_taken_once_and_by_one() {
+fn a_seal_is_taken_over_by_one_process_only() {
     let folder = Folder::new("once");
     let (one, first) = folder.run(1);
     assert_eq!(one.open(&first, false).unwrap(), None, "nothing is known of whoever was before");
@@ -74,27 +74,27 @@
     assert_eq!(
         three.open(&third, false).unwrap(),
         None,
-        "the second may take signups: its word is not there"
+        "the second may take signups: its record is not there"
     );
 }
 
-/// A version before this one left no moment of the clock that all processes share.
+/// The previous version did not record the seal time on the clock shared by all processes.
 #[test]
-fn a_seal_of_the_version_before_is_read() {
+fn a_seal_of_the_previous_version_is_read() {
     let folder = Folder::new("older");
     let (one, first) = folder.run(1);
     opened(&one, &first, true);
     sign_up(&first, 1);
-    one.put(&Word::Sealed(Run(1), first.seal(clock::steady_ms()))).unwrap();
+    one.put(&HandoverRecord::Sealed(Run(1), first.seal(clock::steady_ms()))).unwrap();
     let (two, second) = folder.run(2);
     assert_eq!(opened(&two, &second, false), Opened::TakenOver(1));
     assert!(repeats(&second, 1));
 }
 
-/// The old process stalls before its seal for so long that the next one has opened without it: the seal must not
-/// be left for a third one, which would not know of what the second ran.
+/// The old process stalls before sealing until the next one has opened its ledger without the seal: the seal must not
+/// be written, because a third process would take it and not know what the second ran.
 #[test]
-fn a_seal_that_comes_after_the_next_process_has_opened_is_not_left() {
+fn a_seal_is_not_written_after_the_next_process_has_opened() {
     let folder = Folder::new("late");
     let (one, first) = folder.run(1);
     opened(&one, &first, true);
@@ -107,7 +107,7 @@
     assert_eq!(three.open(&third, false).unwrap(), None);
 }
 
-/// While another process holds the lock nothing is opened, sealed or waited for without end.
+/// While another process holds the lock, the ledger is not opened or sealed, and no call blocks forever.
 #[test]
 fn a_held_lock_keeps_the_ledger_closed() {
     let folder = Folder::new("lock");
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn what_is_foreign_or_spoilt_is_not_used() {
+fn an_untrusted_or_corrupt_file_is_not_used() {
     let folder = Folder::new("foreign");
     let (one, first) = folder.run(1);
     opened(&one, &first, true);
@@ -138,7 +138,7 @@
     closed(&|| fs::write(folder.file(), &sealed[..sealed.len() - 1]).unwrap());
     closed(&|| fs::write(folder.file(), [&sealed[..], b"x"].concat()).unwrap());
     closed(&|| fs::write(folder.file(), b"").unwrap());
-    closed(&|| File::create(folder.file()).unwrap().set_len(LONGEST + 1).unwrap());
+    closed(&|| File::create(folder.file()).unwrap().set_len(MAX_FILE_BYTES + 1).unwrap());
     closed(&|| fs::create_dir(folder.file()).unwrap());
     let _ = fs::remove_dir(folder.file());
     let beside = folder.0.join("elsewhere");
@@ -148,7 +148,7 @@
         fs::write(folder.file(), &sealed).unwrap();
         fs::set_permissions(folder.file(), fs::Permissions::from_mode(0o666)).unwrap();
     });
-    // As it was, it is used.
+    // The unmodified file is used.
     let _ = fs::remove_file(folder.file());
     fs::write(folder.file(), &sealed).unwrap();
     let (three, third) = folder.run(3);
@@ -156,13 +156,13 @@
 }
 
 proptest! {
-    /// No bytes make it panic or take much memory, and one changed bit is noticed.
+    /// No input makes the decoder panic or use much memory, and a single flipped bit is detected.
     #[test]
-    fn no_bytes_mislead_it(bytes in prop::collection::vec(any::<u8>(), 0..200), bit in 0usize..2000) {
+    fn no_input_panics_and_a_flipped_bit_is_found(bytes in prop::collection::vec(any::<u8>(), 0..200), bit in 0usize..2000) {
         let (folder, whole) = (Folder::new("bits"), Ledger::new([1, 2, 3, 4], Longest::new(1000.0)));
         whole.open();
         sign_up(&whole, 1);
-        let mut sealed = encode(&Word::Sealed(Run(1), whole.seal(clock::steady_ms()))).unwrap();
+        let mut sealed = encode(&HandoverRecord::Sealed(Run(1), whole.seal(clock::steady_ms()))).unwrap();
         prop_assert!(decode(&sealed).is_some());
         let bit = bit % (sealed.len() * 8);
         sealed[bit / 8] ^= 1 << (bit % 8);
--- a/front/src/lifecycle/listen_address.rs
+++ b/front/src/lifecycle/listen_address.rs
@@ -11,7 +11,7 @@
 }
 
 impl Listens {
-    /// What is spoken there.
+    /// The protocol served at this address.
     pub fn protocol(self) -> &'static str {
         match self {
             Listens::Dns(_) => "dns",
--- a/front/src/lifecycle/listener.rs
+++ b/front/src/lifecycle/listener.rs
@@ -1,20 +1,20 @@
-//! The clients' listening socket: the one the platform hands down as `$LB_FD`, or one of our own.
+//! The clients' listening socket: inherited from the platform as `$LB_FD`, or bound by this process.
 
 use std::net::{SocketAddr, TcpListener};
 
 use crate::process::transient::retry_at_start;
 
-/// Where the listener came from, which decides how the process ends: an inherited one is the next process's too.
+/// Where the listener came from. This determines the shutdown: an inherited one is shared with the next process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Origin {
     Inherited,
     Bound,
 }
 
-/// The descriptor that the platform hands down, as numbered for socket activation.
-const FIRST_HANDED: &str = "3";
+/// The descriptor that the platform passes, numbered as for socket activation.
+const INHERITED_FD: &str = "3";
 
-/// Takes the listener named by `LB_FD`; where there is none that can be used, binds `listen`.
+/// Takes the listener named by `LB_FD`, or binds `listen` if there is no usable one.
 pub fn clients(named: Option<&str>, listen: SocketAddr) -> Result<(TcpListener, Origin), String> {
     if let Some(fd) = named {
         match inherited(fd.trim()) {
@@ -29,12 +29,12 @@
 
 /// `listenfd` takes descriptors from 3 on, as systemd numbers them, and checks that one is a listening TCP socket.
 fn inherited(fd: &str) -> Result<TcpListener, String> {
-    if fd != FIRST_HANDED {
+    if fd != INHERITED_FD {
         return Err("only descriptor 3 is handed down".into());
     }
     std::env::set_var("LISTEN_FDS", "1");
     std::env::set_var("LISTEN_PID", std::process::id().to_string());
-    let mut handed = listenfd::ListenFd::from_env();
-    let listener = handed.take_tcp_listener(0).map_err(|e| e.to_string())?;
+    let mut sockets = listenfd::ListenFd::from_env();
+    let listener = sockets.take_tcp_listener(0).map_err(|e| e.to_string())?;
     listener.ok_or_else(|| "no socket is there".into())
 }
--- a/front/src/lifecycle/mod.rs
+++ b/front/src/lifecycle/mod.rs
@@ -1,4 +1,4 @@
-//! Start and stop: configuration, threads, signals, drain.
+//! Start and stop of the process: configuration, threads, signals, drain.
 
 pub mod activation;
 pub mod apply_error;
--- a/front/src/lifecycle/peer_sockets.rs
+++ b/front/src/lifecycle/peer_sockets.rs
@@ -1,4 +1,4 @@
-//! The sockets by which a name server asks the other fronts how they are, and notifies its secondaries.
+//! The sockets with which a name server queries the state of other fronts and notifies its secondaries.
 
 use std::net::{IpAddr, SocketAddr, UdpSocket};
 use std::time::Duration;
@@ -12,7 +12,7 @@
 
 use crate::process::clock;
 
-/// By which other fronts are asked and secondaries told.
+/// UDP sockets for queries to other fronts and for notifications to secondaries.
 pub struct PeerSockets {
     v4: UdpSocket,
     v6: Option<UdpSocket>,
@@ -20,7 +20,7 @@
 
 impl PeerSockets {
     /// # Errors
-    /// If no socket is to be had.
+    /// If the IPv4 socket can't be created.
     pub fn bind() -> std::io::Result<PeerSockets> {
         let v4 = UdpSocket::bind("127.0.0.1:0")?;
         v4.set_nonblocking(true)?;
@@ -36,13 +36,13 @@
             IpAddr::V4(_) => Some(&self.v4),
             IpAddr::V6(_) => self.v6.as_ref(),
         };
-        // What is lost here is asked again.
+        // A query or notification lost here is sent again.
         if let Some(socket) = socket {
             let _ = socket.send_to(bytes, to);
         }
     }
 
-    /// Takes in what has come, and sends what is due.
+    /// Processes received datagrams and sends the queries and notifications that are due.
     pub fn turn(
         &self,
         peers: &mut Option<Peers>,
@@ -51,7 +51,7 @@
         now: Ms,
     ) {
         let mut bytes = [0; 2048];
-        let both = Now { steady: now, unix_s: clock::wall_s() };
+        let times = Now { steady: now, unix_s: clock::wall_s() };
         for socket in [Some(&self.v4), self.v6.as_ref()].into_iter().flatten() {
             for _ in 0..64 {
                 let Ok((got, from)) = socket.recv_from(&mut bytes) else { break };
@@ -60,7 +60,7 @@
                     if let Some(steering) = steering {
                         steering.report(front, condition, now);
                     }
-                } else if let Some(ended) = notifier.as_mut().and_then(|n| n.received(from, said, both)) {
+                } else if let Some(ended) = notifier.as_mut().and_then(|n| n.received(from, said, times)) {
                     report_end(ended);
                 }
             }
@@ -68,7 +68,7 @@
         while let Some((to, bytes)) = peers.as_mut().and_then(|p| p.poll(now)) {
             self.send(to, &bytes);
         }
-        while let Some(next) = notifier.as_mut().and_then(|n| n.poll(both)) {
+        while let Some(next) = notifier.as_mut().and_then(|n| n.poll(times)) {
             match next {
                 Ok((to, bytes)) => self.send(to, &bytes),
                 Err(ended) => report_end(ended),
@@ -76,17 +76,17 @@
         }
     }
 
-    /// Until something comes, or so long.
-    pub fn wait(&self, most: Duration) {
+    /// Waits until a datagram arrives or the timeout expires.
+    pub fn wait(&self, timeout: Duration) {
         let sockets = [Some(&self.v4), self.v6.as_ref()];
         let mut fds: Vec<PollFd<'_>> =
             sockets.into_iter().flatten().map(|s| PollFd::new(s, PollFlags::IN)).collect();
-        let most = Timespec { tv_sec: 0, tv_nsec: i64::from(most.subsec_nanos()) };
-        let _ = poll(&mut fds, Some(&most));
+        let timeout = Timespec { tv_sec: 0, tv_nsec: i64::from(timeout.subsec_nanos()) };
+        let _ = poll(&mut fds, Some(&timeout));
     }
 }
 
-/// Logs how a notice to a secondary ended.
+/// Logs the result of a notification to a secondary.
 fn report_end(ended: Ended) {
     match ended {
         Ended::Heard(_) => {}
--- a/front/src/lifecycle/plan.rs
+++ b/front/src/lifecycle/plan.rs
@@ -1,4 +1,4 @@
-//! The commands plan, apply and counters.
+//! The commands plan, apply, undo-move and counters.
 
 use std::path::Path;
 
@@ -7,7 +7,8 @@
 use crate::edge::plan::{cells_difference, difference, CellsPlan, Plan, PLAN_VERSION};
 use crate::lifecycle::control::{self, Ask, Reply};
 
-/// Prints the difference and saves the plan; whether there is a change. The cells' file counts where it is there.
+/// Prints the difference and saves the plan; returns whether there is a change. The cells' file is included if it
+/// exists.
 pub fn plan(edge: &Path, cells: &Path, control: &Path, out: Option<&Path>) -> Result<bool, String> {
     let to = EdgeConfig::load(edge)?;
     let from = match control::ask(control, &Ask::Show) {
@@ -40,7 +41,7 @@
     Ok(changed)
 }
 
-/// Carries a saved plan out, exactly.
+/// Applies a saved plan exactly.
 pub fn apply(path: &Path, control: &Path) -> Result<(), String> {
     match control::ask(control, &Ask::Apply(Box::new(Plan::load(path)?)))? {
         Reply::Applied { changed: true } => println!("applied"),
@@ -51,7 +52,7 @@
     Ok(())
 }
 
-/// Takes the move of a shop from cell to cell back.
+/// Reverts the move of a shop between cells.
 pub fn undo_move(shop: &str, control: &Path) -> Result<(), String> {
     match control::ask(control, &Ask::UndoMove(shop.into()))? {
         Reply::Applied { .. } => println!("undone, if it was under way"),
--- a/front/src/lifecycle/reload.rs
+++ b/front/src/lifecycle/reload.rs
@@ -1,4 +1,4 @@
-//! SIGHUP: a new configuration for a running front.
+//! Reload of the configuration of a running front at SIGHUP.
 
 use std::net::SocketAddr;
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -14,26 +14,27 @@
 use crate::memory::longest::Longest;
 use crate::server::Intake;
 
-/// What a running front can take over from its file, and what it can't.
+/// What a reload needs: the values that a new file must match, and the parts of the front that take the new ones.
 pub struct Reload<R> {
     pub read: R,
     pub name: String,
     pub listen: SocketAddr,
     pub bus: Arc<BusAddress>,
     pub counters: Arc<Counters>,
-    /// The keys of the file at the start.
+    /// The keys of the file at startup.
     pub shape: Shape,
-    /// Where the engine is told the new settings, and who takes the new classes.
+    /// Sends the new settings to the engine.
     pub inputs: Sender<Input>,
+    /// Receives the new classes.
     pub intake: Arc<Intake>,
-    /// What must outlast every request goes by it.
+    /// Raised to the longest deadline of the new file.
     pub longest: Longest,
 }
 
 impl<R: Fn() -> Result<Config, String>> Reload<R> {
-    /// Reads and checks the file whole before anything of it is in force: a bad one changes nothing.
+    /// Reads and checks the whole file before any part of it is in force: an invalid file changes nothing.
     pub fn run(&self) {
-        let taken = catch_unwind(AssertUnwindSafe(|| self.take_over()));
+        let taken = catch_unwind(AssertUnwindSafe(|| self.apply_file()));
         match taken.unwrap_or_else(|_| Err("a panic".into())) {
             Ok(what) => {
                 self.counters.figures.reloads_ok.fetch_add(1, Relaxed);
@@ -46,10 +47,10 @@
         }
     }
 
-    /// Requests go on undisturbed; the event bus is read on from the last number at its new address.
-    fn take_over(&self) -> Result<String, String> {
+    /// Open requests are not affected; the event bus is read from the last event number at its new address.
+    fn apply_file(&self) -> Result<String, String> {
         let config = (self.read)()?;
-        if let Some(key) = config.shape.lacks(&self.shape) {
+        if let Some(key) = config.shape.missing_key(&self.shape) {
             return Err(format!("the file is incomplete: it has no {key}"));
         }
         if config.name != self.name {
@@ -64,7 +65,7 @@
             Ok(classes) => {
                 let names: Vec<_> = classes.iter().map(|c| c.name.clone()).collect();
                 intake.replace_classes(classes);
-                // Whoever goes by the log may send at once.
+                // Logged last: whoever waits for this line may send requests of the new classes immediately.
                 eprintln!("reload: {} classes are in force: {}", names.len(), names.join(", "));
             }
             Err(why) => eprintln!("reload: the classes stay as they were: {why}"),
--- a/front/src/lifecycle/second_front.rs
+++ b/front/src/lifecycle/second_front.rs
@@ -1,4 +1,5 @@
-//! The second front in the life of the process: its start beside an earlier process, its end, and what it leaves to the next one.
+//! Lifecycle of the second front: its start while an earlier process runs, its end, and the handover to the next
+//! process.
 
 use std::path::PathBuf;
 use std::sync::atomic::AtomicU64;
@@ -28,7 +29,7 @@
 use crate::server::http::HttpContext;
 use crate::server::{dns, Intake};
 
-/// Where the second front's file is, and where plan and apply find the program.
+/// Paths of the second front's files and of the control socket.
 pub struct SecondFrontFiles {
     pub file: PathBuf,
     pub control: Option<PathBuf>,
@@ -38,7 +39,7 @@
     pub fleet: PathBuf,
 }
 
-/// What the second front shares with the rest of the process.
+/// Parts of the process that the second front shares.
 pub struct SecondFrontContext<'a> {
     pub config: &'a Config,
     pub inputs: &'a Sender<Input>,
@@ -57,10 +58,11 @@
 }
 
 impl SecondFront {
-    /// Starts its threads, and puts its file in force as soon as no earlier process has the addresses.
+    /// Starts its threads, and puts its file in force as soon as no earlier process holds the addresses.
     ///
     /// # Errors
-    /// If a thread can't be started. A file that can't be used is logged: it must not keep the first front from serving.
+    /// If a thread can't be started. A file that can't be used is logged: it must not keep the first front from
+    /// serving.
     pub fn start(
         files: &SecondFrontFiles,
         context: SecondFrontContext,
@@ -118,8 +120,8 @@
 
     /// Opens the ledger once no client of an earlier process can still retry there.
     fn open_ledger(&self, longest_deadline_ms: f64, settled: Arc<OnceLock<Instant>>) -> Result<(), String> {
-        // The clients of the process before give up after the longest deadline; where it may leave word, it is not
-        // shut out by that: it stays for a while before it does.
+        // The clients of the previous process give up after the longest deadline. If that process may leave a seal,
+        // wait long enough for it to do so: it keeps running for a while before it seals.
         let closed = Duration::from_secs_f64(longest_deadline_ms / 1000.0);
         let closed = if self.handover.is_some() { closed.max(MIN_SHUTDOWN * 2) } else { closed };
         let (ledger, handover) = (self.ledger.clone(), self.handover.clone());
@@ -128,10 +130,10 @@
         spawn("ledger", open).map(drop).map_err(|e| format!("ledger thread: {e}"))
     }
 
-    /// Takes no new connections.
+    /// Stops accepting connections.
     pub fn end(&self, origin: Origin) {
         self.edge.end();
-        // On a handed-down listener the next process is there already, and waits for our other addresses.
+        // With an inherited listener the next process runs already and waits for the other addresses.
         if origin == Origin::Inherited {
             self.edge.leave();
             let _ = std::fs::remove_file(&self.control);
--- a/front/src/lifecycle/serve.rs
+++ b/front/src/lifecycle/serve.rs
@@ -1,4 +1,4 @@
-//! Runs a front: start in order, ready, drain at SIGTERM, stop.
+//! Runs a front: ordered start, readiness, drain at SIGTERM, stop.
 
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::path::Path;
@@ -33,11 +33,11 @@
 use crate::server::sockets::Sockets;
 use crate::server::Intake;
 
-/// Events that wait for the engine at most; whoever brings more waits.
+/// Maximum number of events queued for the engine; senders block beyond it.
 const MAX_QUEUED_INPUTS: usize = 8192;
-/// How often it is checked whether a signal has come.
+/// Interval between checks for signals.
 const SIGNAL_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// The part of the memory that the bytes of requests may take.
+/// Request bytes may use the memory limit divided by this.
 const REQUEST_MEMORY_DIVISOR: usize = 8;
 
 /// Runs the front. `read` reads the configuration, now and again at each SIGHUP.
@@ -50,8 +50,8 @@
     let signals = retry_at_start("signals", register).map_err(|e| format!("signals: {e}"))?;
     let counters = Arc::new(Counters::default());
     let (inputs, events) = bounded(MAX_QUEUED_INPUTS);
-    let handed = std::env::var("LB_FD").ok();
-    let (listener, origin) = listener::clients(handed.as_deref(), config.listen)?;
+    let inherited_fd = std::env::var("LB_FD").ok();
+    let (listener, origin) = listener::clients(inherited_fd.as_deref(), config.listen)?;
     if let Some(at) = config.management {
         let management = Management::bind(at, counters.clone())?;
         eprintln!("management: calls are taken at {}", management.local_addr().unwrap_or(at));
@@ -60,7 +60,7 @@
 
     let at = listener.local_addr().map_err(|e| e.to_string())?;
 
-    // The list of the start goes in before the first request can.
+    // The initial member list is applied before the first request can arrive.
     let mut follower = BusFollower {
         names: config.names.clone(),
         start_times: StartTimes::default(),
@@ -100,7 +100,7 @@
         longest: longest.clone(),
     };
 
-    // The usual clients hold a third of the descriptors at most, connections to cache nodes another.
+    // The usual clients hold at most a third of the descriptors, connections to cache nodes another third.
     let clients = Clients::new(config.sockets / 2);
     clients.start_watch(&counters).map_err(|e| format!("watch thread: {e}"))?;
     let second_front = if second.file.exists() {
@@ -123,9 +123,9 @@
     counters.mode.serves(clock::uptime());
     eprintln!("ready: {} listens on {at} ({origin:?}), pid {}", config.name, std::process::id());
 
-    let terms = start_signals(signals, counters.clone(), reload)?;
+    let shutdown_requests = start_signals(signals, counters.clone(), reload)?;
     crossbeam_channel::select! {
-        recv(terms) -> _ => {}
+        recv(shutdown_requests) -> _ => {}
         recv(stopped) -> _ => return Err("the engine has stopped".into()),
     }
     counters.mode.end(clock::uptime(), longest.span());
@@ -140,7 +140,7 @@
     if let Some(second_front) = &second_front {
         second_front.seal_ledger();
     }
-    // After what is left to the next process: a kill may come meanwhile.
+    // After the handover to the next process, because this process may be killed during the wait.
     if !finish.close_within(&counters.mode, CLIENT_CLOSE_TIMEOUT) {
         eprintln!("draining: some clients have not closed their connections");
     }
@@ -150,17 +150,17 @@
     Ok(())
 }
 
-/// Serves the platform's clients on a thread of its own.
+/// Serves the platform's clients on a separate thread.
 fn start_clients(sockets: Sockets, inputs: Sender<Input>) -> Result<(), String> {
     let run = move || {
-        // Without this thread the program is deaf: it ends, and is started again.
+        // Without this thread no client is served: the process ends and is restarted.
         let _ = catch_unwind(AssertUnwindSafe(|| sockets.run()));
         let _ = inputs.send(Input::Stop);
     };
     spawn_at_start("clients", run).map(drop).map_err(|e| format!("clients' thread: {e}"))
 }
 
-/// Reads signals on a thread of its own; the channel says when one asks for the end.
+/// Reads signals on a separate thread; the returned channel receives a message at SIGTERM or SIGINT.
 fn start_signals<R>(
     mut signals: Signals,
     counters: Arc<Counters>,
@@ -169,25 +169,26 @@
 where
     R: Fn() -> Result<Config, String> + Send + 'static,
 {
-    let (term, terms) = bounded(1);
+    let (shutdown_sender, shutdown_requests) = bounded(1);
     let run = move || {
-        // Not `forever()`: the handler wakes it by a write that may fail, and a signal would wait for the next one.
+        // Not `forever()`: its handler wakes it by a write that may fail, and the signal would then wait for the next
+        // one.
         loop {
             for signal in signals.pending() {
                 match signal {
                     SIGUSR1 => eprintln!("{counters}"),
                     SIGHUP => reload.run(),
-                    _ => drop(term.try_send(())),
+                    _ => drop(shutdown_sender.try_send(())),
                 }
             }
             std::thread::sleep(SIGNAL_CHECK_INTERVAL);
         }
     };
     spawn_at_start("signals", run).map_err(|e| format!("signal thread: {e}"))?;
-    Ok(terms)
+    Ok(shutdown_requests)
 }
 
-/// Starts the fleet, if its file is there.
+/// Starts the fleet if its file exists.
 ///
 /// # Errors
 /// If the file, or what it names, can't be used: the front does not start.
--- a/front/src/lifecycle/shutdown.rs
+++ b/front/src/lifecycle/shutdown.rs
@@ -8,14 +8,14 @@
 use crate::memory::counters::Counters;
 use crate::memory::longest::Longest;
 
-/// After SIGTERM new connections come for up to 0.4 s and requests for 0.2 s: the front stays at least so long.
+/// Minimum time to shutdown: after SIGTERM new connections arrive for up to 0.4 s and requests for 0.2 s.
 pub const MIN_SHUTDOWN: Duration = Duration::from_millis(1000);
-/// Once all is answered, so long is waited for what still comes and for the clients' own ends of their connections.
+/// After all requests are answered, how long to wait for late requests and for clients to close their connections.
 pub const CLIENT_CLOSE_TIMEOUT: Duration = Duration::from_millis(400);
-/// How often it is checked whether all is answered.
+/// Interval between checks whether all requests are answered.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Waits until nothing is open any more, up to the end of the drain at most: the platform kills soon after it.
+/// Waits until no request is open, but no longer than the drain: the platform kills the process soon after it.
 pub fn wait_until_answered(
     counters: &Counters,
     longest: &Longest,
@@ -28,7 +28,7 @@
             recv(ticks) -> _ => {}
             recv(stopped) -> _ => return Err("the engine has stopped".into()),
         }
-        // A reload may still raise it.
+        // A reload may still raise the longest deadline.
         let last = DrainSchedule::shutdown(longest.span()).release_after;
         let done = since.elapsed() >= MIN_SHUTDOWN && counters.all_answered();
         if done || since.elapsed() >= last {
--- a/front/src/memory/announced.rs
+++ b/front/src/memory/announced.rs
@@ -1,5 +1,5 @@
-//! Addresses that the bus says drain. A name may go on naming them for long, by a resolver that is behind the times
-//! or has been lied to: the member that the name leads to drains all the same.
+//! Addresses that the bus reports as draining. A stale or spoofed resolver answer may keep returning such an address;
+//! the member that it resolves to is treated as draining all the same.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,18 +8,19 @@
 
 use crate::exchange::MembersUpdate;
 
-/// After its node has left the list an address is remembered for so long: resolvers hold answers for 30 s.
-const AFTER: Ms = 60_000.0;
-const MOST: usize = 1024;
+/// How long an address is remembered after its node has left the list: resolvers cache answers for 30 s.
+const FORGET_AFTER_MS: Ms = 60_000.0;
+const MAX_ADDRESSES: usize = 1024;
 
+/// The draining addresses known from the bus.
 #[derive(Debug, Default)]
 pub struct Announced {
-    /// Where a draining node is, and when it left the list.
+    /// Address of each draining node, and when the node left the list.
     draining: BTreeMap<SocketAddr, Option<Ms>>,
 }
 
 impl Announced {
-    /// Takes a list of the bus in; true where it changes what is draining.
+    /// Applies a member list from the bus; returns whether the set of draining addresses changed.
     pub fn heard(&mut self, news: &MembersUpdate, event: &Event, now: Ms) -> bool {
         let Event::List { entries, .. } = event else { return false };
         let before: Vec<SocketAddr> = self.draining.keys().copied().collect();
@@ -43,8 +44,8 @@
                 }
             }
         }
-        self.draining.retain(|_, left| left.is_none_or(|left| now - left < AFTER));
-        while self.draining.len() > MOST {
+        self.draining.retain(|_, left| left.is_none_or(|left| now - left < FORGET_AFTER_MS));
+        while self.draining.len() > MAX_ADDRESSES {
             let oldest = self
                 .draining
                 .iter()
@@ -55,7 +56,7 @@
         !before.iter().eq(self.draining.keys())
     }
 
-    /// A list of the resolver as it holds with what the bus has said.
+    /// Marks the entries of a resolver's list as draining where the bus reported their address as draining.
     pub fn overrule(&self, news: &MembersUpdate, event: &mut Event) {
         let Event::List { entries, .. } = event else { return };
         for entry in entries {
@@ -105,9 +106,9 @@
         entries.iter().map(|e| e.availability).collect()
     }
 
-    /// What the bus drains is draining under the resolver's name too, and after it has left the list.
+    /// An address that the bus drains is draining under the resolver's name too, also after it has left the list.
     #[test]
-    fn the_bus_overrules_names() {
+    fn a_resolved_address_is_draining_while_the_bus_drains_it() {
         let (ready, draining) = (Availability::Ready, Availability::Draining);
         let mut announced = Announced::default();
         let say = |a: &mut Announced, full, nodes: &[(&str, u16, Availability)], now| {
@@ -120,7 +121,7 @@
         assert_eq!(availability(&announced), [draining, ready]);
         say(&mut announced, true, &[("c2", 2, ready)], 2.0);
         assert_eq!(availability(&announced), [draining, ready], "gone from the list");
-        say(&mut announced, true, &[("c2", 2, ready)], 2.0 + AFTER);
+        say(&mut announced, true, &[("c2", 2, ready)], 2.0 + FORGET_AFTER_MS);
         assert_eq!(availability(&announced), [ready, ready], "forgotten after a while");
         say(&mut announced, false, &[("c2", 2, draining)], 100_000.0);
         assert!(say(&mut announced, false, &[("c2", 2, ready)], 100_001.0), "the bus takes it back");
@@ -128,12 +129,12 @@
     }
 
     #[test]
-    fn it_is_bounded() {
+    fn the_number_of_remembered_addresses_is_limited() {
         let mut announced = Announced::default();
         for n in 0..5000u16 {
             let (news, event) = list(false, &[(&format!("c{n}"), n, Availability::Gone)]);
             announced.heard(&news, &event, f64::from(n));
         }
-        assert!(announced.draining.len() <= MOST);
+        assert!(announced.draining.len() <= MAX_ADDRESSES);
     }
 }
--- a/front/src/memory/budget.rs
+++ b/front/src/memory/budget.rs
@@ -1,8 +1,9 @@
-//! A bound on bytes that many hold together.
+//! A limit on the total number of bytes held by several owners.
 
 use std::sync::atomic::{AtomicUsize, Ordering::Relaxed};
 use std::sync::Arc;
 
+/// The bytes that are still available, shared by all owners.
 #[derive(Clone, Debug)]
 pub struct Budget {
     left: Arc<AtomicUsize>,
@@ -13,13 +14,13 @@
         Budget { left: Arc::new(AtomicUsize::new(bytes)) }
     }
 
-    /// Holds nothing yet.
+    /// Returns a reservation of zero bytes.
     pub fn held(&self) -> Held {
         Held { left: self.left.clone(), bytes: 0 }
     }
 }
 
-/// A part of the budget, given back when it is dropped.
+/// A reservation from the budget, returned to it on drop.
 #[derive(Debug)]
 pub struct Held {
     left: Arc<AtomicUsize>,
@@ -27,7 +28,7 @@
 }
 
 impl Held {
-    /// Takes so much more; false where that is not to be had.
+    /// Reserves more bytes; returns false, with nothing reserved, where fewer are available.
     pub fn grow(&mut self, bytes: usize) -> bool {
         let taken = self.left.fetch_update(Relaxed, Relaxed, |left| left.checked_sub(bytes)).is_ok();
         self.bytes += if taken { bytes } else { 0 };
@@ -46,7 +47,7 @@
     use super::*;
 
     #[test]
-    fn what_is_dropped_can_be_had_again_and_no_more_than_there_is() {
+    fn dropped_bytes_are_available_again_and_the_budget_is_never_exceeded() {
         let budget = Budget::new(10);
         let (mut one, mut two) = (budget.held(), budget.held());
         assert!(one.grow(6) && !two.grow(5) && two.grow(4) && !one.grow(1));
--- a/front/src/memory/counters.rs
+++ b/front/src/memory/counters.rs
@@ -1,4 +1,4 @@
-//! Counters of what is taken in, sent and answered.
+//! Counters of requests, attempts, connections and answers.
 
 use std::fmt;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::Relaxed};
@@ -16,16 +16,17 @@
 #[derive(Debug, Default)]
 pub struct Counters {
     pub taken: AtomicU64,
-    /// When the bus was last read up to its end, Unix milliseconds.
+    /// When the bus was last read to its end, in milliseconds of `clock::steady_ms`.
     pub bus_heard: AtomicU64,
-    /// Refused or sent elsewhere by the plan for a lost site.
+    /// Refused or redirected by the plan for a lost site.
     pub site_refused: AtomicU64,
     pub bad_requests: AtomicU64,
     pub refused_early: AtomicU64,
     pub broken_clients: AtomicU64,
-    /// Sent to another front, since this one has drained.
+    /// Redirected to another front because this one has drained.
     pub sent_away: AtomicU64,
-    /// Requests rejected since the front drains, open ones answered at the cut-off of a drain, and partial ones rejected then.
+    /// Requests rejected because the front drains, open ones answered at the cut-off of a drain, and partial ones
+    /// rejected at the cut-off.
     pub drain_rejected: AtomicU64,
     pub drain_cut_off: AtomicU64,
     pub drain_partial_rejected: AtomicU64,
@@ -36,19 +37,19 @@
     pub failed: AtomicU64,
     pub abandoned: AtomicU64,
     pub open: AtomicU64,
-    /// Requests that their cell refused, by cause.
+    /// Requests refused by their cell, by reason.
     pub by_cell: [AtomicU64; 6],
-    /// Requests can be taken in: shown to other fronts, not counted.
+    /// Whether requests can be accepted: reported to other fronts, not a counter.
     pub ready: AtomicBool,
-    /// Serving, paused or ending: what readiness says.
+    /// Serving, paused or ending: determines readiness.
     pub mode: Mode,
-    /// What the management address shows.
+    /// The metrics of the management address.
     pub figures: Arc<Figures>,
-    /// Counts of the name server, where there is one.
+    /// Counters of the name server, if one runs.
     pub dns: OnceLock<Arc<elmtide_dns::answer::Counts>>,
-    /// What becomes of the name server's datagrams.
+    /// Counters of the name server's datagrams.
     pub dns_datagrams: OnceLock<Arc<DatagramCounters>>,
-    /// What becomes of the fleet's datagrams.
+    /// Counters of the fleet's datagrams.
     pub fleet_datagrams: OnceLock<Arc<DatagramCounters>>,
     unwritten: AtomicU64,
     pub sent: AtomicU64,
@@ -60,7 +61,7 @@
 }
 
 impl Counters {
-    /// Whether each request that was taken has had its end, and that has been written.
+    /// Whether every accepted request has ended and its answer has been written.
     pub fn all_answered(&self) -> bool {
         let ended = [&self.served, &self.refused, &self.failed, &self.abandoned];
         let ended = ended.iter().map(|c| c.load(Relaxed)).sum::<u64>();
@@ -68,7 +69,7 @@
     }
 
     pub fn outcome(&self, outcome: Outcome) {
-        let place = match outcome {
+        let index = match outcome {
             Outcome::Ok => 0,
             Outcome::Error => 1,
             Outcome::Full => 2,
@@ -79,7 +80,7 @@
             Outcome::Moot => 7,
             Outcome::Miss => 8,
         };
-        self.outcomes[place].fetch_add(1, Relaxed);
+        self.outcomes[index].fetch_add(1, Relaxed);
     }
 }
 
@@ -113,7 +114,7 @@
         for (name, value) in self.dns.get().into_iter().flat_map(|dns| dns.named()) {
             write!(f, " {name}={value}")?;
         }
-        // Behind the older ones, whose places scripts may count on.
+        // After the older counters, because scripts may depend on their positions.
         let of_drains = [
             ("drain_rejected", &self.drain_rejected),
             ("drain_cut_off", &self.drain_cut_off),
@@ -133,8 +134,8 @@
     }
 }
 
-/// Held from a request's last byte until its answer is written: the program does not end in between, when the
-/// engine is done with the request but its client is not.
+/// Held from a request's last byte until its answer is written, so that the process does not end while the engine
+/// has finished a request and its answer is still unwritten.
 #[derive(Debug)]
 pub struct Unwritten(Arc<Counters>);
 
--- a/front/src/memory/exchanges.rs
+++ b/front/src/memory/exchanges.rs
@@ -1,4 +1,4 @@
-//! The table of exchanges that are open or still have attempts out.
+//! The table of exchanges that are unanswered or still have attempts in flight.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -7,28 +7,30 @@
 
 use crate::exchange::{Answer, ForwardedRequest, Incoming, Responder, Token};
 
-/// Exchanges held at most; the bytes of their bodies have a budget of their own.
-const MOST: usize = 1024;
+/// Maximum number of exchanges; the bytes of their bodies have a separate budget.
+const MAX_EXCHANGES: usize = 1024;
 
+/// A request of a client and its attempts.
 #[derive(Debug)]
 pub struct Exchange {
     pub deadline: Ms,
     pub forwarded: Arc<ForwardedRequest>,
     pub(crate) responder: Option<Responder>,
-    /// For each attempt when it was sent, while it is out.
+    /// The send time of each attempt while it is in flight, `None` afterwards.
     pub(crate) attempts: Vec<Option<Ms>>,
-    /// For each attempt the cache node that it went to.
+    /// The cache node of each attempt.
     targets: Vec<MemberId>,
-    /// Attempts whose misses are filled from elsewhere, and from where; noted where machines go out for work.
+    /// The source from which the misses of an attempt are filled; recorded where machines are taken out for
+    /// maintenance.
     sources: Vec<(Try, MemberId)>,
-    /// One of those that have ended was written whole.
+    /// An ended attempt was written completely.
     pub may_have_run: bool,
-    /// When the first of those that have ended and may have run was sent.
-    ran_since: Option<Ms>,
+    /// The earliest send time of the ended attempts that may have run.
+    first_ended_run: Option<Ms>,
     pub class: ClassId,
     /// The router that decides on it.
     pub router: usize,
-    /// Milliseconds of sending at full pace, where its size is told.
+    /// Milliseconds of sending at full rate, where the size is known.
     pub work: Option<Ms>,
 }
 
@@ -36,7 +38,7 @@
     pub fn new(incoming: Incoming) -> Exchange {
         let Incoming { deadline, forwarded, responder, class, .. } = incoming;
         Exchange {
-            ran_since: None,
+            first_ended_run: None,
             class,
             deadline,
             forwarded,
@@ -50,13 +52,13 @@
         }
     }
 
-    /// Gives the final answer; false if there has been one.
+    /// Sends the final answer; returns false if one was sent already.
     pub fn answer(&mut self, answer: Answer) -> bool {
         let responder = self.responder.take();
         responder.map(|to| to.answer(answer)).is_some()
     }
 
-    /// The client has left; false if the exchange was over.
+    /// The client has left; returns false if the exchange was already answered.
     pub fn abandon(&mut self) -> bool {
         self.responder.take().map(Responder::discard).is_some()
     }
@@ -75,13 +77,13 @@
         self.sources.push((attempt, source));
     }
 
-    /// Whether an attempt is out to this member, or one that is filled from it.
+    /// Whether an attempt is in flight to this member, or to a node that fills from it.
     fn is_open_at(&self, member: MemberId) -> bool {
         let fills = |attempt: Try| self.sources.iter().any(|(of, from)| *of == attempt && *from == member);
         self.out().any(|attempt| self.targets.get(usize::from(attempt.0)) == Some(&member) || fills(attempt))
     }
 
-    /// It has had an attempt.
+    /// Whether an attempt has been started.
     pub fn has_been_sent(&self) -> bool {
         !self.attempts.is_empty()
     }
@@ -90,31 +92,32 @@
         self.attempts.get(usize::from(attempt.0)).is_some_and(Option::is_some)
     }
 
-    /// The attempts that are out.
+    /// The attempts in flight.
     pub fn out(&self) -> impl Iterator<Item = Try> + '_ {
         let out = self.attempts.iter().enumerate().filter(|(_, sent)| sent.is_some());
-        out.map(|(place, _)| Try(place as u8))
+        out.map(|(index, _)| Try(index as u8))
     }
 
-    /// An attempt that was sent at this moment has ended and may have run.
+    /// Records that an attempt sent at this time has ended and may have run.
     pub fn ran(&mut self, sent: Ms) {
-        self.ran_since = Some(self.ran_since.map_or(sent, |first| first.min(sent)));
+        self.first_ended_run = Some(self.first_ended_run.map_or(sent, |first| first.min(sent)));
     }
 
-    /// When the first attempt was sent that has run, as far as is known.
+    /// The earliest send time of the attempts that may have run or are in flight.
     pub fn first_run(&self) -> Option<Ms> {
         let out = self.attempts.iter().flatten().copied();
-        self.ran_since.into_iter().chain(out).min_by(Ms::total_cmp)
+        self.first_ended_run.into_iter().chain(out).min_by(Ms::total_cmp)
     }
 
-    /// When the attempt was sent and to whom, if it was out: each has one end.
+    /// Ends an attempt; returns its send time and cache node, or `None` if it has ended before.
     pub fn end_attempt(&mut self, attempt: Try) -> Option<(Ms, MemberId)> {
-        let place = usize::from(attempt.0);
-        let sent = self.attempts.get_mut(place).and_then(Option::take)?;
-        Some((sent, self.targets[place]))
+        let index = usize::from(attempt.0);
+        let sent = self.attempts.get_mut(index).and_then(Option::take)?;
+        Some((sent, self.targets[index]))
     }
 }
 
+/// All exchanges by request id, with their job ids.
 #[derive(Debug, Default)]
 pub struct Exchanges {
     open: HashMap<RequestId, Exchange>,
@@ -123,11 +126,11 @@
 
 impl Exchanges {
     pub fn is_full(&self) -> bool {
-        self.open.len() >= MOST
+        self.open.len() >= MAX_EXCHANGES
     }
 
-    /// False where the request's id is that of another that is open: cache nodes could not tell the two apart,
-    /// and the answer to one could be given to the other.
+    /// Fails where an open exchange has the same job id: cache nodes could not tell the two apart, and the answer
+    /// to one could be given to the other.
     pub fn open(&mut self, incoming: Incoming) -> Result<(), Incoming> {
         if !self.jobs.insert(incoming.forwarded.job.clone()) {
             return Err(incoming);
@@ -136,7 +139,7 @@
         Ok(())
     }
 
-    /// The router of an exchange; the first for one that is not there.
+    /// The router of an exchange; the first router if the exchange is unknown.
     pub fn router(&self, id: RequestId) -> usize {
         self.open.get(&id).map_or(0, |e| e.router)
     }
@@ -149,14 +152,14 @@
         self.open.get_mut(&id)
     }
 
-    /// Gives the final answer of an exchange; false if there has been one.
+    /// Sends the final answer of an exchange; returns false if one was sent already.
     pub fn answer(&mut self, id: RequestId, answer: Answer) -> bool {
         let answered = self.open.get_mut(&id).is_some_and(|e| e.answer(answer));
         self.settle(id);
         answered
     }
 
-    /// Forgets an exchange that is answered and has no attempt out.
+    /// Removes an exchange that is answered and has no attempt in flight.
     pub fn settle(&mut self, id: RequestId) {
         let over = |e: &Exchange| e.is_answered() && e.attempts.iter().all(Option::is_none);
         if self.open.get(&id).is_some_and(over) {
@@ -166,7 +169,7 @@
         }
     }
 
-    /// The routers that decide on what is held.
+    /// The router of each exchange.
     pub fn routers(&self) -> impl Iterator<Item = usize> + '_ {
         self.open.values().map(|e| e.router)
     }
@@ -175,7 +178,7 @@
         self.open.values().any(|e| e.is_open_at(member))
     }
 
-    /// The requests that have no answer yet, in the order in which they came.
+    /// The unanswered requests in order of arrival.
     pub fn unanswered_ids(&self) -> Vec<RequestId> {
         let open = self.open.iter().filter(|(_, exchange)| !exchange.is_answered());
         let mut ids: Vec<RequestId> = open.map(|(id, _)| *id).collect();
--- a/front/src/memory/failing.rs
+++ b/front/src/memory/failing.rs
@@ -1,13 +1,14 @@
-//! Which listed members are failing now, as the figures show them: a member is failing after `STREAK` ends in a
-//! row that prove it did not do its work, until it answers well again. Only members in the list are held.
+//! Which listed members are failing, for the management address: a member is failing after `FAILURE_STREAK` consecutive
+//! failed attempts, until an attempt succeeds. Only listed members are tracked.
 
 use std::collections::BTreeMap;
 
 use elmtide::{MemberId, Outcome};
 
-/// Failed ends in a row from which a member counts as avoided.
-const STREAK: u8 = 2;
+/// Consecutive failures after which a member counts as failing.
+const FAILURE_STREAK: u8 = 2;
 
+/// Consecutive failures of each member.
 #[derive(Debug, Default)]
 pub struct Failing(BTreeMap<MemberId, u8>);
 
@@ -26,11 +27,11 @@
     }
 
     pub fn is_failing(&self, member: MemberId) -> bool {
-        self.0.get(&member).is_some_and(|streak| *streak >= STREAK)
+        self.0.get(&member).is_some_and(|streak| *streak >= FAILURE_STREAK)
     }
 
-    /// What it has failed says nothing of it any more: it was let go for work, and comes back another one. Nothing would be sent to
-    /// one that is kept off, so that it could never answer well again.
+    /// Clears the failures of a member that returns from maintenance: they say nothing about it any more. Nothing
+    /// would be sent to a member that is still excluded, so it could never succeed again.
     pub fn forget(&mut self, member: MemberId) {
         self.0.remove(&member);
     }
@@ -47,7 +48,7 @@
     use super::*;
 
     #[test]
-    fn two_failures_in_a_row_avoid_a_member_and_one_good_answer_takes_it_back() {
+    fn a_member_fails_after_two_consecutive_failures_until_one_success() {
         let mut failing = Failing::default();
         let m = MemberId(3);
         failing.heard(m, Outcome::Timeout);
--- a/front/src/memory/figures.rs
+++ b/front/src/memory/figures.rs
@@ -1,17 +1,17 @@
-//! The figures that the management address shows: what each class had served, refused and failed, what is in
-//! flight, the cache nodes known and avoided, and the files taken at SIGHUP.
+//! The metrics of the management address: requests served, refused and failed by class, requests in flight, cache nodes
+//! known and excluded, and reloads at SIGHUP.
 //!
-//! Each outcome is counted where it is decided, once: an answer by the `Responder` that gives it, an attempt by the
-//! connection that wrote it whole. Classes are held by name, so that a class keeps its counts over a reload; there
-//! are at most `CLASSES` names, and what a file names beyond them is counted under none.
+//! Each outcome is counted once, where it is decided: an answer by the `Responder` that sends it, an attempt by the
+//! connection that wrote it completely. Classes are identified by name, so that a class keeps its counts across a
+//! reload; beyond `MAX_CLASSES` names, further classes are not reported.
 
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::sync::{Arc, Mutex};
 
 use serde_json::{Map, Value};
 
-/// Names of classes that are counted at most, over all reloads.
-const CLASSES: usize = 256;
+/// Maximum number of class names counted, over all reloads.
+const MAX_CLASSES: usize = 256;
 
 /// The counts of one class.
 #[derive(Debug, Default)]
@@ -19,20 +19,21 @@
     pub served: AtomicU64,
     pub refused: AtomicU64,
     pub failed: AtomicU64,
-    /// Attempts written whole to cache nodes.
+    /// Attempts written completely to cache nodes.
     pub attempts: AtomicU64,
 }
 
-/// How a request ended, as the figures count it.
+/// How a request ended, for counting.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ended {
     Served,
     Refused,
     Failed,
-    /// The client left: no count.
+    /// The client left: not counted.
     Left,
 }
 
+/// The metrics of the management address.
 #[derive(Debug, Default)]
 pub struct Figures {
     classes: Mutex<Vec<(Arc<str>, Arc<ClassTally>)>>,
@@ -44,20 +45,20 @@
 }
 
 impl Figures {
-    /// The counts of a class by its name; one of its own, counted nowhere, past the bound of names.
+    /// The counters of a class by name; beyond the maximum number of names, separate counters that are not reported.
     pub fn tally(&self, class: &str) -> Arc<ClassTally> {
         let mut classes = self.classes.lock().unwrap_or_else(|p| p.into_inner());
         if let Some((_, tally)) = classes.iter().find(|(name, _)| &**name == class) {
             return tally.clone();
         }
         let tally = Arc::new(ClassTally::default());
-        if classes.len() < CLASSES {
+        if classes.len() < MAX_CLASSES {
             classes.push((class.into(), tally.clone()));
         }
         tally
     }
 
-    /// A request has been taken: it is in flight until its `InFlight` is dropped.
+    /// Counts an accepted request as in flight until its `InFlight` is dropped.
     pub fn taken(self: &Arc<Figures>, tally: Arc<ClassTally>) -> InFlight {
         self.in_flight.fetch_add(1, Relaxed);
         InFlight { figures: self.clone(), tally }
@@ -67,7 +68,7 @@
         self.in_flight.load(Relaxed)
     }
 
-    /// One JSON object on one line.
+    /// The metrics as one JSON object on one line.
     pub fn render(&self) -> String {
         let classes = self.classes.lock().unwrap_or_else(|p| p.into_inner()).clone();
         let by_class = |count: fn(&ClassTally) -> &AtomicU64| {
@@ -95,7 +96,7 @@
     }
 }
 
-/// Held by a request from its taking to its end: in flight meanwhile, counted once at its end.
+/// Held by a request while it is in flight; counts its end once.
 #[derive(Debug)]
 pub struct InFlight {
     figures: Arc<Figures>,
@@ -125,7 +126,7 @@
     use super::*;
 
     #[test]
-    fn each_end_counts_once_under_its_class_and_in_flight_returns_to_naught() {
+    fn each_end_is_counted_once_in_its_class_and_in_flight_returns_to_zero() {
         let figures = Arc::new(Figures::default());
         let (a, b) = (figures.tally("A"), figures.tally("B"));
         let ends = [Ended::Served, Ended::Served, Ended::Refused, Ended::Failed, Ended::Left];
@@ -143,7 +144,7 @@
         assert_eq!(shown["failed"]["A"], 1);
         assert_eq!(shown["served"]["B"], 0);
         assert_eq!(shown["in_flight"], 0);
-        // The same name is the same counts, as after a reload.
+        // The same name gives the same counters, as after a reload.
         figures.tally("A").attempts.fetch_add(3, Relaxed);
         b.attempts.fetch_add(1, Relaxed);
         let shown: Value = serde_json::from_str(&figures.render()).unwrap();
@@ -151,12 +152,12 @@
     }
 
     #[test]
-    fn names_past_the_bound_are_counted_nowhere() {
+    fn classes_beyond_the_maximum_are_not_reported() {
         let figures = Figures::default();
-        for n in 0..CLASSES + 10 {
+        for n in 0..MAX_CLASSES + 10 {
             figures.tally(&format!("c{n}")).served.fetch_add(1, Relaxed);
         }
         let shown: Value = serde_json::from_str(&figures.render()).unwrap();
-        assert_eq!(shown["served"].as_object().unwrap().len(), CLASSES);
+        assert_eq!(shown["served"].as_object().unwrap().len(), MAX_CLASSES);
     }
 }
--- a/front/src/memory/ledger.rs
+++ b/front/src/memory/ledger.rs
@@ -1,5 +1,5 @@
-//! The ledger of requests that must never run twice: all our addresses share it. A retry at whichever address
-//! joins the run that is under way, or is told its result again.
+//! The ledger of requests that must never run twice, shared by all addresses of this front. A retry at any address
+//! joins the run in progress or receives its stored result.
 
 use std::collections::{HashMap, VecDeque};
 use std::hash::{Hash, Hasher};
@@ -13,38 +13,38 @@
 use crate::exchange::{Answer, ServedCopy, Token};
 use crate::memory::longest::Longest;
 
-/// Bounds: entries, bytes of the results that are kept, and clients that wait for one run.
-const ENTRIES: usize = 10_000;
-const BYTES: usize = 24 << 20;
-const WAITING: usize = 64;
-/// A result is kept for so many of the longest deadlines after its end: clients retry within one.
+/// Limits: entries, bytes of stored results, and clients waiting for one run.
+const MAX_ENTRIES: usize = 10_000;
+const MAX_RESULT_BYTES: usize = 24 << 20;
+const MAX_WAITING_CLIENTS: usize = 64;
+/// A result is kept for this multiple of the longest deadline after its end: clients retry within one deadline.
 pub const LIVES: f64 = 6.0;
 
-/// Results above this are not passed to the process after this one: their keys are, as uncertain.
-const PASSED_RESULT: usize = 4096;
+/// Larger results are not passed to the next process: their keys are passed as uncertain.
+const MAX_SEALED_RESULT_BYTES: usize = 4096;
 
-/// What a key was used for, as two keyed hashes: nobody can make another request with the same.
+/// A request as two keyed hashes, so that no client can construct another request with the same fingerprint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fingerprint(u64, u64);
 
 /// The keys of both hashes.
 type HashKeys = [(u64, u64); 2];
 
-/// A request's fingerprint under the keys that the ledger had then: it may take over another process's.
+/// A request's fingerprint and the hash keys it was made with: the ledger may take over another process's keys later.
 #[derive(Clone, Copy, Debug)]
 pub struct Printed(Fingerprint, HashKeys);
 
-/// What the process after this one must know: of a ledger that takes nothing any more.
+/// The content of a sealed ledger, for the next process.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 pub struct Sealed {
-    /// The seal's moment on the time line of whoever sealed it.
+    /// When it was sealed, on the time line of the sealing process.
     at: Ms,
     hash_keys: HashKeys,
     entries: Vec<SealedEntry>,
 }
 
 impl Sealed {
-    /// The same on the time line of another process, where it was sealed so long before `now`.
+    /// Moves the seal time to the time line of another process, where it was sealed `age` before `now`.
     pub fn sealed_before(self, now: Ms, age: Ms) -> Sealed {
         Sealed { at: now - age, ..self }
     }
@@ -54,14 +54,14 @@
 struct SealedEntry {
     key: String,
     fingerprint: Fingerprint,
-    /// For how long from the seal it is remembered.
+    /// Remaining retention time, counted from the seal.
     left: Ms,
     outcome: SealedOutcome,
 }
 
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 enum SealedOutcome {
-    /// It may have run: never run it again.
+    /// It may have run and must never run again.
     Uncertain,
     Served {
         bytes: Vec<u8>,
@@ -73,11 +73,11 @@
 /// Why a sealed ledger is not used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NotUsed {
-    /// Made in the future, or longer ago than its entries live, by this machine's clock.
+    /// Sealed in the future, or longer ago than entries are kept, by this machine's clock.
     Dated,
-    /// More, longer or other than a ledger of ours holds.
+    /// Its entries exceed the limits of a ledger or are invalid.
     Foreign,
-    /// Signups have been taken here already.
+    /// This ledger was opened or sealed already.
     Late,
 }
 
@@ -87,14 +87,14 @@
     Done(Arc<Answer>),
 }
 
-/// A run that has not ended: who waits for it, and what the engine knows it as.
+/// A run in progress: the clients waiting for it and its id in the engine.
 #[derive(Debug, Default)]
 struct Run {
     waiting: Vec<(u64, Sender<Arc<Answer>>)>,
     request: Option<RequestId>,
 }
 
-/// A client's place among those that wait for a run.
+/// A client's registration for the result of a run.
 #[derive(Debug)]
 pub struct Wait {
     pub result: Receiver<Arc<Answer>>,
@@ -107,29 +107,29 @@
     state: State,
 }
 
-/// Whether new keys are taken.
+/// Whether new keys are accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Door {
-    /// What ran before this process is not known yet.
+enum LedgerPhase {
+    /// It is not known yet what earlier processes have run.
     Closed,
     Open,
-    /// What is here has been passed on.
+    /// The content has been passed to the next process.
     Sealed,
 }
 
 #[derive(Debug)]
-struct Book {
-    door: Door,
+struct LedgerState {
+    phase: LedgerPhase,
     hash_keys: HashKeys,
     entries: HashMap<Token, Entry>,
-    /// Ended runs in the order of their ends, and until when each is remembered.
+    /// Ended runs in the order of their ends: expiry time, key and result size.
     ended: VecDeque<(Ms, Token, usize)>,
     bytes: usize,
-    /// Places that have been given to those who wait.
-    places: u64,
+    /// The last place that was assigned to a waiting client.
+    last_place: u64,
 }
 
-impl Book {
+impl LedgerState {
     fn fingerprint(&self, request: &impl Hash) -> Fingerprint {
         let [a, b] = self.hash_keys.map(|(k0, k1)| {
             let mut hasher = SipHasher13::new_with_keys(k0, k1);
@@ -151,69 +151,73 @@
 
 #[derive(Debug)]
 pub struct Ledger {
-    book: Mutex<Book>,
+    state: Mutex<LedgerState>,
     longest: Longest,
 }
 
-/// What becomes of a request with this key.
+/// What happens to a request with this key.
 #[derive(Debug)]
 pub enum Entered {
-    /// It is the first: run it, say so with [`Ledger::runs`], end it with [`Ledger::finish`], and wait for the result here.
+    /// The first with this key: run it, report it with [`Ledger::runs`], end it with [`Ledger::finish`], and wait for
+    /// the result here.
     Run(Wait),
-    /// It is running: wait for the result here.
+    /// It is already running: wait for the result here.
     Join(Wait),
     Repeat(Arc<Answer>),
     OtherRequest,
-    /// No room, or too soon after a start: nothing has run for it here, but what ran before is not known.
+    /// The ledger is full, closed or sealed, or the hash keys have changed: the request is not run.
     Refuse,
 }
 
 impl Ledger {
-    /// Closed until it is opened or has taken over what ran before. The secret keys its hashes.
+    /// A closed ledger: it must be opened, or take over a sealed one. The hashes are keyed with `secret`.
     pub fn new(secret: [u64; 4], longest: Longest) -> Ledger {
         let [a, b, c, d] = secret;
-        let book = Book {
-            door: Door::Closed,
+        let ledger_state = LedgerState {
+            phase: LedgerPhase::Closed,
             hash_keys: [(a, b), (c, d)],
             entries: HashMap::new(),
             ended: VecDeque::new(),
             bytes: 0,
-            places: 0,
+            last_place: 0,
         };
-        Ledger { book: Mutex::new(book), longest }
+        Ledger { state: Mutex::new(ledger_state), longest }
     }
 
-    /// For how long a result is kept.
+    /// How long a result is kept.
     fn life(&self) -> Ms {
         self.longest.ms() * LIVES
     }
 
-    fn book(&self) -> MutexGuard<'_, Book> {
-        self.book.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+    fn lock_state(&self) -> MutexGuard<'_, LedgerState> {
+        self.state.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// Takes new keys from now on: the clients of whatever ran before have given up.
+    /// Accepts new keys from now on: the clients of earlier processes have given up.
     pub fn open(&self) {
-        let mut book = self.book();
-        if book.door == Door::Closed {
-            book.door = Door::Open;
+        let mut ledger_state = self.lock_state();
+        if ledger_state.phase == LedgerPhase::Closed {
+            ledger_state.phase = LedgerPhase::Open;
         }
     }
 
-    /// Takes nothing any more, and tells all that it holds. What has not ended by now is uncertain.
+    /// Stops accepting keys and returns the content. Runs that have not ended are uncertain.
     pub fn seal(&self, now: Ms) -> Sealed {
-        let mut book = self.book();
-        book.forget(now);
-        book.door = Door::Sealed;
-        let until: HashMap<&Token, Ms> = book.ended.iter().map(|(until, key, _)| (key, *until)).collect();
+        let mut ledger_state = self.lock_state();
+        ledger_state.forget(now);
+        ledger_state.phase = LedgerPhase::Sealed;
+        let until: HashMap<&Token, Ms> =
+            ledger_state.ended.iter().map(|(until, key, _)| (key, *until)).collect();
         let entry = |(key, entry): (&Token, &Entry)| {
             let outcome = match &entry.state {
                 State::Done(answer) => match &**answer {
-                    Answer::Served(copy) if copy.bytes.len() <= PASSED_RESULT => SealedOutcome::Served {
-                        bytes: copy.bytes.clone(),
-                        digest: copy.digest.as_ref().map(|d| d.as_str().to_owned()),
-                        client_has_it: copy.client_has_it,
-                    },
+                    Answer::Served(copy) if copy.bytes.len() <= MAX_SEALED_RESULT_BYTES => {
+                        SealedOutcome::Served {
+                            bytes: copy.bytes.clone(),
+                            digest: copy.digest.as_ref().map(|d| d.as_str().to_owned()),
+                            client_has_it: copy.client_has_it,
+                        }
+                    }
                     _ => SealedOutcome::Uncertain,
                 },
                 State::Running(_) => SealedOutcome::Uncertain,
@@ -221,18 +225,18 @@
             let left = until.get(key).map_or(self.life(), |until| until - now);
             SealedEntry { key: key.as_str().to_owned(), fingerprint: entry.fingerprint, left, outcome }
         };
-        let mut entries: Vec<SealedEntry> = book.entries.iter().map(entry).collect();
+        let mut entries: Vec<SealedEntry> = ledger_state.entries.iter().map(entry).collect();
         entries.sort_by(|a, b| a.left.total_cmp(&b.left));
-        Sealed { at: now, hash_keys: book.hash_keys, entries }
+        Sealed { at: now, hash_keys: ledger_state.hash_keys, entries }
     }
 
-    /// Goes on with what the process before has sealed, and opens; all of it or nothing. Gives the number of keys.
+    /// Takes over what the previous process sealed, and opens; all of it or nothing. Returns the number of keys.
     pub fn take_over(&self, sealed: Sealed, now: Ms) -> Result<usize, NotUsed> {
         let age = now - sealed.at;
         if !(0.0..=self.life()).contains(&age) {
             return Err(NotUsed::Dated);
         }
-        if sealed.entries.len() > ENTRIES {
+        if sealed.entries.len() > MAX_ENTRIES {
             return Err(NotUsed::Foreign);
         }
         let mut entries = HashMap::new();
@@ -255,80 +259,80 @@
             bytes += size;
             let state = State::Done(Arc::new(answer));
             let taken = entries.insert(key.clone(), Entry { fingerprint: entry.fingerprint, state });
-            if taken.is_some() || size > PASSED_RESULT || bytes > BYTES {
+            if taken.is_some() || size > MAX_SEALED_RESULT_BYTES || bytes > MAX_RESULT_BYTES {
                 return Err(NotUsed::Foreign);
             }
             ended.push_back((until, key, size));
         }
-        let mut book = self.book();
-        if book.door != Door::Closed {
+        let mut ledger_state = self.lock_state();
+        if ledger_state.phase != LedgerPhase::Closed {
             return Err(NotUsed::Late);
         }
         let count = entries.len();
-        let (door, hash_keys) = (Door::Open, sealed.hash_keys);
-        *book = Book { door, hash_keys, entries, ended, bytes, places: 0 };
+        let (phase, hash_keys) = (LedgerPhase::Open, sealed.hash_keys);
+        *ledger_state = LedgerState { phase, hash_keys, entries, ended, bytes, last_place: 0 };
         Ok(count)
     }
 
-    /// Whether something has run, or runs, for this key here.
+    /// Whether this key has an entry.
     pub fn knows(&self, key: &Token) -> bool {
-        self.book().entries.contains_key(key)
+        self.lock_state().entries.contains_key(key)
     }
 
     pub fn print(&self, request: &impl Hash) -> Printed {
-        let book = self.book();
-        Printed(book.fingerprint(request), book.hash_keys)
+        let ledger_state = self.lock_state();
+        Printed(ledger_state.fingerprint(request), ledger_state.hash_keys)
     }
 
     pub fn enter(&self, key: &Token, Printed(fingerprint, hash_keys): Printed, now: Ms) -> Entered {
-        let mut book = self.book();
-        book.forget(now);
-        if book.hash_keys != hash_keys {
+        let mut ledger_state = self.lock_state();
+        ledger_state.forget(now);
+        if ledger_state.hash_keys != hash_keys {
             return Entered::Refuse;
         }
-        let open = book.door == Door::Open;
-        let (held, bytes) = (book.entries.len(), book.bytes);
+        let open = ledger_state.phase == LedgerPhase::Open;
+        let (held, bytes) = (ledger_state.entries.len(), ledger_state.bytes);
         let (to, result) = bounded(1);
-        book.places += 1;
-        let place = book.places;
+        ledger_state.last_place += 1;
+        let place = ledger_state.last_place;
         let wait = Wait { result, place };
-        match book.entries.get_mut(key) {
+        match ledger_state.entries.get_mut(key) {
             Some(entry) if entry.fingerprint != fingerprint => Entered::OtherRequest,
             Some(Entry { state: State::Done(answer), .. }) => Entered::Repeat(answer.clone()),
-            Some(Entry { state: State::Running(run), .. }) if run.waiting.len() < WAITING => {
+            Some(Entry { state: State::Running(run), .. }) if run.waiting.len() < MAX_WAITING_CLIENTS => {
                 run.waiting.push((place, to));
                 Entered::Join(wait)
             }
             Some(_) => Entered::Refuse,
-            None if !open || held >= ENTRIES || bytes >= BYTES => Entered::Refuse,
+            None if !open || held >= MAX_ENTRIES || bytes >= MAX_RESULT_BYTES => Entered::Refuse,
             None => {
                 let state = State::Running(Run { waiting: vec![(place, to)], request: None });
-                book.entries.insert(key.clone(), Entry { fingerprint, state });
+                ledger_state.entries.insert(key.clone(), Entry { fingerprint, state });
                 Entered::Run(wait)
             }
         }
     }
 
-    /// The engine knows the run by this id.
+    /// Records the id of the run in the engine.
     pub fn runs(&self, key: &Token, request: RequestId) {
-        if let Some(Entry { state: State::Running(run), .. }) = self.book().entries.get_mut(key) {
+        if let Some(Entry { state: State::Running(run), .. }) = self.lock_state().entries.get_mut(key) {
             run.request = Some(request);
         }
     }
 
-    /// A client that waits for the run has left. Gives the run's id if nobody waits for it any more: if none of it has been
-    /// sent on by then, it is not to be.
+    /// Removes a waiting client that has left. Returns the run's id if no client waits for it any more: the run must
+    /// then be cancelled if nothing of it has been sent.
     pub fn leave(&self, key: &Token, wait: &Wait) -> Option<RequestId> {
-        let mut book = self.book();
-        let State::Running(run) = &mut book.entries.get_mut(key)?.state else { return None };
+        let mut ledger_state = self.lock_state();
+        let State::Running(run) = &mut ledger_state.entries.get_mut(key)?.state else { return None };
         run.waiting.retain(|(place, _)| *place != wait.place);
         run.request.filter(|_| run.waiting.is_empty())
     }
 
-    /// The run has ended. What was refused never ran, and may be tried anew; what is uncertain has failed for good.
+    /// Ends a run. A refused request never ran and may be retried; an uncertain one has failed permanently.
     pub fn finish(&self, key: &Token, answer: Answer, now: Ms) {
-        let mut book = self.book();
-        let Some(entry) = book.entries.get_mut(key) else { return };
+        let mut ledger_state = self.lock_state();
+        let Some(entry) = ledger_state.entries.get_mut(key) else { return };
         let answer = Arc::new(answer);
         let State::Running(run) = std::mem::replace(&mut entry.state, State::Done(answer.clone())) else {
             return;
@@ -339,14 +343,14 @@
             Answer::Failed => Some(0),
         };
         match size {
-            None => drop(book.entries.remove(key)),
+            None => drop(ledger_state.entries.remove(key)),
             Some(size) => {
-                book.bytes += size;
-                book.ended.push_back((now + self.life(), key.clone(), size));
+                ledger_state.bytes += size;
+                ledger_state.ended.push_back((now + self.life(), key.clone(), size));
             }
         }
-        drop(book);
-        // Each channel has room for the one result.
+        drop(ledger_state);
+        // Each channel has capacity for the one result.
         run.waiting.iter().for_each(|(_, to)| drop(to.try_send(answer.clone())));
     }
 }
--- a/front/src/memory/ledger/tests.rs
+++ b/front/src/memory/ledger/tests.rs
@@ -22,9 +22,9 @@
     Answer::Served(ServedCopy { bytes: vec![b'x'; size], digest: Token::new(b"d1"), client_has_it: false })
 }
 
-/// A retry must never run again: it joins, or is told the result.
+/// A retry never runs again: it joins the run or receives its result.
 #[test]
-fn one_run_for_one_key() {
+fn a_key_runs_once_and_retries_get_its_result() {
     let ledger = open();
     let Entered::Run(first) = enter(&ledger, 1, "a", 2000.0) else { panic!("runs") };
     let Entered::Join(second) = enter(&ledger, 1, "a", 2001.0) else { panic!("joins") };
@@ -35,10 +35,10 @@
     assert!(matches!(enter(&ledger, 1, "a", 8100.0), Entered::Run(_)), "forgotten after its life");
 }
 
-/// Who is the last to leave is told what to take back, whether it ran it or joined; nobody else is, and nobody once it
-/// has ended.
+/// Only the last client to leave gets the id of the run to cancel, whether it started the run or joined it; none
+/// gets it once the run has ended.
 #[test]
-fn the_last_to_leave_has_the_run_taken_back() {
+fn only_the_last_client_to_leave_gets_the_run_to_cancel() {
     let ledger = open();
     let Entered::Run(first) = enter(&ledger, 1, "a", 2000.0) else { panic!("the first runs it") };
     assert_eq!(ledger.leave(&key(2), &first), None, "no such key");
@@ -47,7 +47,7 @@
     assert_eq!(ledger.leave(&key(1), &first), None, "another waits");
     assert_eq!(ledger.leave(&key(1), &first), None, "and goes on waiting");
     assert_eq!(ledger.leave(&key(1), &second), Some(RequestId(7)));
-    // It is refused, as nothing ran; a client that came in between is told, and the key may be used again.
+    // Nothing ran, so it is refused; a client that joined meanwhile gets the refusal, and the key may be used again.
     let Entered::Join(third) = enter(&ledger, 1, "a", 2002.0) else { panic!("still running") };
     ledger.finish(&key(1), Answer::Refused { wait_ms: None }, 2003.0);
     assert_eq!(*third.result.recv().unwrap(), Answer::Refused { wait_ms: None });
@@ -55,7 +55,7 @@
     assert!(matches!(enter(&ledger, 1, "a", 2004.0), Entered::Run(_)));
 }
 
-/// A reload brings a class with a longer deadline: what ends from then on is kept for its clients' repeats too.
+/// After a reload adds a class with a longer deadline, results of runs that end later are kept for its retries too.
 #[test]
 fn results_are_kept_for_the_longest_deadline_since_the_start() {
     let ledger = open();
@@ -72,7 +72,7 @@
     run(2, 25_000.0);
 }
 
-/// What was refused has not run: the next try may.
+/// A refused request has not run, so the next attempt may run.
 #[test]
 fn a_refused_run_leaves_no_entry() {
     let ledger = open();
@@ -86,15 +86,15 @@
     let ledger = closed(1);
     assert!(matches!(enter(&ledger, 0, "a", 999.0), Entered::Refuse));
     ledger.open();
-    for n in 0..ENTRIES {
+    for n in 0..MAX_ENTRIES {
         assert!(matches!(enter(&ledger, n, "a", 1000.0), Entered::Run(_)));
     }
-    assert!(matches!(enter(&ledger, ENTRIES, "a", 1000.0), Entered::Refuse));
+    assert!(matches!(enter(&ledger, MAX_ENTRIES, "a", 1000.0), Entered::Refuse));
     assert!(matches!(enter(&ledger, 7, "a", 1000.0), Entered::Join(_)));
 }
 
-/// The next process repeats what ended, fails what may have run, runs what never did, and tells requests apart
-/// that use one key, though its own hash keys were others.
+/// The next process repeats ended runs, fails requests that may have run, runs those that never did, and rejects
+/// another request with a used key, although its own hash keys were different.
 #[test]
 fn the_next_process_knows_what_this_one_ran() {
     let old = open();
@@ -103,7 +103,7 @@
     }
     old.finish(&key(1), served(64), 2100.0);
     old.finish(&key(2), Answer::Refused { wait_ms: None }, 2100.0);
-    old.finish(&key(4), served(PASSED_RESULT + 1), 2200.0);
+    old.finish(&key(4), served(MAX_SEALED_RESULT_BYTES + 1), 2200.0);
     let sealed = old.seal(2300.0);
     assert!(matches!(enter(&old, 9, "a", 2301.0), Entered::Refuse), "a sealed ledger takes nothing");
     old.open();
@@ -118,9 +118,9 @@
     assert!(matches!(enter(&new, 1, "a", 8150.0), Entered::Run(_)), "lives are not begun anew");
 }
 
-/// What can't be a ledger of ours changes nothing.
+/// Sealed content that no ledger can have written is rejected without effect.
 #[test]
-fn a_strange_seal_is_not_used() {
+fn invalid_sealed_content_is_rejected() {
     let entry = |n: usize, left| SealedEntry {
         key: format!("k{n}"),
         fingerprint: Fingerprint(1, 2),
@@ -128,8 +128,11 @@
         outcome: SealedOutcome::Uncertain,
     };
     let sealed = |at, entries| Sealed { at, hash_keys: [(1, 2), (3, 4)], entries };
-    let long =
-        SealedOutcome::Served { bytes: vec![0; PASSED_RESULT + 1], digest: None, client_has_it: false };
+    let long = SealedOutcome::Served {
+        bytes: vec![0; MAX_SEALED_RESULT_BYTES + 1],
+        digest: None,
+        client_has_it: false,
+    };
     let cases = [
         (NotUsed::Dated, sealed(3001.0, vec![])),
         (NotUsed::Dated, sealed(3000.0 - 6001.0, vec![])),
@@ -138,7 +141,7 @@
         (NotUsed::Foreign, sealed(2000.0, vec![entry(1, 6001.0)])),
         (NotUsed::Foreign, sealed(2000.0, vec![entry(1, 5.0), entry(1, 5.0)])),
         (NotUsed::Foreign, sealed(2000.0, vec![entry(1, 5.0), entry(2, 4.0)])),
-        (NotUsed::Foreign, sealed(2000.0, (0..=ENTRIES).map(|n| entry(n, 5.0)).collect())),
+        (NotUsed::Foreign, sealed(2000.0, (0..=MAX_ENTRIES).map(|n| entry(n, 5.0)).collect())),
         (NotUsed::Foreign, sealed(2000.0, vec![SealedEntry { key: "a b".into(), ..entry(1, 5.0) }])),
         (NotUsed::Foreign, sealed(2000.0, vec![SealedEntry { outcome: long, ..entry(1, 5.0) }])),
     ];
--- a/front/src/memory/longest.rs
+++ b/front/src/memory/longest.rs
@@ -1,6 +1,6 @@
-//! The longest deadline that any class has had since the start: what must outlast every request (the end of the process,
-//! the results that are kept for repeats, keys that change hands) goes by it. A reload may raise it while the longest request
-//! of before is still open, so it never falls.
+//! The longest deadline of any class since the start. Everything that must outlast every request depends on it: the
+//! shutdown, the results kept for repeats, and the handover of keys. It never decreases, because a request admitted
+//! before a reload may still be open.
 
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::sync::Arc;
@@ -8,7 +8,7 @@
 
 use elmtide::Ms;
 
-/// Shared by all who go by it.
+/// A shared handle to the longest deadline.
 #[derive(Clone, Debug)]
 pub struct Longest(Arc<AtomicU64>);
 
@@ -19,16 +19,17 @@
         longest
     }
 
-    /// There is a class with this deadline from now on.
+    /// Records the deadline of a class.
     pub fn raise(&self, deadline: Ms) {
         self.0.fetch_max((deadline.max(0.0) * 1000.0).ceil() as u64, Relaxed);
     }
 
-    /// The same as a span.
+    /// The longest deadline as a `Duration`.
     pub fn span(&self) -> Duration {
         Duration::from_micros(self.0.load(Relaxed))
     }
 
+    /// The longest deadline in milliseconds.
     pub fn ms(&self) -> Ms {
         self.0.load(Relaxed) as f64 / 1000.0
     }
--- a/front/src/memory/members.rs
+++ b/front/src/memory/members.rs
@@ -1,4 +1,4 @@
-//! The members that the lists have named: their names on the wire and where they listen.
+//! The members named by the lists: their wire names and addresses.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,9 +8,10 @@
 
 use crate::exchange::MemberUpdate;
 
-/// Members remembered at most; those gone longest are forgotten first.
-const MOST: usize = 4096;
+/// Number of members at which those that are gone are removed before another is added.
+const MAX_MEMBERS: usize = 4096;
 
+/// A listed member.
 #[derive(Clone, Debug)]
 pub struct Member {
     pub name: Arc<str>,
@@ -18,11 +19,12 @@
     pub gone: bool,
 }
 
+/// The known members by id.
 #[derive(Debug, Default)]
 pub struct Members(BTreeMap<MemberId, Member>);
 
-/// The number of a member is a hash of its name (FNV-1a), the same at every front and after every restart: the
-/// module's tables are built from it and must agree between fronts.
+/// The id of a member: the FNV-1a hash of its name. It is the same at every front and after every restart, because
+/// the tables of the decision module are built from it and must agree between fronts.
 pub fn member_id(name: &str) -> MemberId {
     let step = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01B3);
     MemberId(name.bytes().fold(0xCBF2_9CE4_8422_2325, step))
@@ -30,7 +32,7 @@
 
 impl Members {
     pub fn learn(&mut self, news: &MemberUpdate) {
-        if self.0.len() >= MOST && !self.0.contains_key(&news.member) {
+        if self.0.len() >= MAX_MEMBERS && !self.0.contains_key(&news.member) {
             self.0.retain(|_, m| !m.gone);
         }
         let member = Member { name: news.name.clone(), addr: news.addr, gone: news.gone };
@@ -41,7 +43,7 @@
         self.0.get(&id)
     }
 
-    /// Keeps those for which this holds, given whether they are gone.
+    /// Keeps the members for which `keep` returns true, given the id and whether the member is gone.
     pub fn retain(&mut self, keep: impl Fn(&MemberId, bool) -> bool) {
         self.0.retain(|id, member| keep(id, member.gone));
     }
--- a/front/src/memory/mod.rs
+++ b/front/src/memory/mod.rs
@@ -1,4 +1,4 @@
-//! What is kept in memory. All of it is bounded.
+//! In-memory state of a front. All of it has fixed limits.
 
 pub mod announced;
 pub mod budget;
--- a/front/src/memory/mode.rs
+++ b/front/src/memory/mode.rs
@@ -1,9 +1,11 @@
-//! Whether this process takes clients: the one state that readiness, the management address, the engine and the client thread
-//! read. It goes from starting to serving once; an operator pauses and resumes; SIGTERM ends it for good. Beside that its machine
-//! may go out for maintenance: an operator's pause is not undone by its coming back, nor the other way round.
+//! Whether this process accepts clients: the state read by readiness, the management address, the engine and the client
+//! thread. It changes from starting to serving once; an operator pauses and resumes; SIGTERM ends it permanently.
+//! Independently, the machine may be taken out for maintenance: its return does not undo an operator's pause, and a
+//! resume does not bring the machine back.
 //!
-//! A pause, a machine that goes and the end of the process are all a drain: when it began is part of the state, so that how long
-//! clients are held is bounded by time. Moments are those of `process::clock::uptime`, which no step of the wall clock moves.
+//! A pause, a machine taken out and the end of the process are all drains. The start of a drain is part of the state,
+//! so the time for which clients are kept is limited. Times are from `process::clock::uptime`, which steps of the wall
+//! clock do not affect.
 
 use std::sync::atomic::{
     AtomicBool, AtomicU64,
@@ -18,17 +20,17 @@
 pub enum State {
     Starting,
     Serving,
-    /// `PAUSE`: clients are sent away, the process stays.
+    /// After `PAUSE`: clients are redirected, the process keeps running.
     Paused,
-    /// SIGTERM: what is open is finished, then the process ends.
+    /// After SIGTERM: open requests are finished, then the process exits.
     Ending,
 }
 
-/// The low bits of the state word say which state it is, the others since when, in microseconds of the uptime.
+/// The low bits of the state word hold the state, the others its start in microseconds of uptime.
 const STATE_BITS: u32 = 2;
 const STATE_MASK: u64 = (1 << STATE_BITS) - 1;
 
-/// A state and the moment at which it was entered, in one word: both are always read together.
+/// Packs a state and the time it was entered into one word, so that both are read atomically.
 fn pack(state: State, since: Duration) -> u64 {
     (micros(since) << STATE_BITS) | state as u64
 }
@@ -51,11 +53,11 @@
 #[derive(Debug, Default)]
 pub struct Mode {
     state: AtomicU64,
-    /// Since when this front's machine goes out for maintenance, in microseconds of the uptime; 0 while it does not.
-    machine_out_since: AtomicU64,
-    /// The longest deadline of a class when the process was told to end, in microseconds.
+    /// When this front's machine began to leave for maintenance, in microseconds of uptime; 0 if it is not leaving.
+    machine_leaving_since: AtomicU64,
+    /// The longest deadline of a class when the process was told to exit, in microseconds.
     longest_deadline: AtomicU64,
-    /// All that was open at the end has been answered.
+    /// All requests open at shutdown have been answered.
     finishing: AtomicBool,
 }
 
@@ -64,53 +66,55 @@
         unpack(self.state.load(Acquire)).0
     }
 
-    /// Enters a state from one of these; false where the state is another.
+    /// Changes from one state to another; returns false if the current state is not `from`.
     fn enter(&self, from: State, to: State, now: Duration) -> bool {
         let change = |word| (unpack(word).0 == from).then(|| pack(to, now));
         self.state.fetch_update(AcqRel, Acquire, change).is_ok()
     }
 
-    /// The process can serve.
+    /// Startup is complete: the process can serve.
     pub fn serves(&self, now: Duration) {
         self.enter(State::Starting, State::Serving, now);
     }
 
-    /// False where there is nothing to pause: still starting, or ending. A second pause does not begin the drain anew.
+    /// Returns false if the process is starting or ending. A second pause does not restart the drain.
     pub fn pause(&self, now: Duration) -> bool {
         self.enter(State::Serving, State::Paused, now) || self.state() == State::Paused
     }
 
-    /// False where the process is ending or not yet serving.
+    /// Returns false if the process is ending or not yet serving.
     pub fn resume(&self, now: Duration) -> bool {
         self.enter(State::Paused, State::Serving, now) || self.state() == State::Serving
     }
 
-    /// Whether this front's machine goes out for maintenance.
+    /// Sets whether this front's machine is being taken out for maintenance.
     pub fn machine_goes(&self, goes: bool, now: Duration) {
         if !goes {
-            return self.machine_out_since.store(0, Relaxed);
+            return self.machine_leaving_since.store(0, Relaxed);
         }
         let keep_first = |since| (since == 0).then(|| micros(now).max(1));
-        let _ = self.machine_out_since.fetch_update(Relaxed, Relaxed, keep_first);
+        let _ = self.machine_leaving_since.fetch_update(Relaxed, Relaxed, keep_first);
     }
 
-    /// By plan, its own or its machine's: no name answer names it, not even where nobody else is left.
+    /// Whether the process or its machine is leaving as planned: DNS answers omit it then, even if no other front is
+    /// left.
     pub fn is_leaving(&self) -> bool {
-        self.machine_goes_out() || self.state() == State::Ending
+        self.is_machine_leaving() || self.state() == State::Ending
     }
 
-    fn machine_goes_out(&self) -> bool {
-        self.machine_out_since.load(Relaxed) != 0
+    fn is_machine_leaving(&self) -> bool {
+        self.machine_leaving_since.load(Relaxed) != 0
     }
 
-    /// The process is told to end; its classes have this longest deadline.
+    /// The process is told to exit; `longest_deadline` is the longest of its classes.
     pub fn end(&self, now: Duration, longest_deadline: Duration) {
         self.longest_deadline.store(micros(longest_deadline), Relaxed);
         let first = |word| (unpack(word).0 != State::Ending).then(|| pack(State::Ending, now));
         let _ = self.state.fetch_update(AcqRel, Acquire, first);
     }
 
-    /// Ending, with all that was open answered: what still comes is answered too, then all connections are closed.
+    /// All requests open at shutdown are answered: requests that still arrive are answered, then all connections are
+    /// closed.
     pub fn finish(&self) {
         self.finishing.store(true, Relaxed);
     }
@@ -119,17 +123,17 @@
         self.finishing.load(Relaxed)
     }
 
-    /// Whether readiness says yes.
+    /// Whether the readiness check succeeds.
     pub fn is_ready(&self) -> bool {
-        self.state() == State::Serving && !self.machine_goes_out()
+        self.state() == State::Serving && !self.is_machine_leaving()
     }
 
-    /// Connections are closed as soon as nothing is open on them.
+    /// Whether connections are closed as soon as no request is open on them.
     pub fn sends_away(&self) -> bool {
-        matches!(self.state(), State::Paused | State::Ending) || self.machine_goes_out()
+        matches!(self.state(), State::Paused | State::Ending) || self.is_machine_leaving()
     }
 
-    /// How far the drain has come; of several the one that has come furthest.
+    /// The phase of the drain; with several drains, the most advanced phase.
     pub fn drain_phase(&self, now: Duration) -> DrainPhase {
         self.drains(now)
             .map(|(schedule, elapsed)| schedule.phase(Some(elapsed)))
@@ -142,7 +146,7 @@
         self.drains(now).map(|(schedule, elapsed)| schedule.time_until_cut_off(elapsed)).min()
     }
 
-    /// The drains that are under way, each with the time since it began.
+    /// The active drains, each with the time since it began.
     fn drains(&self, now: Duration) -> impl Iterator<Item = (DrainSchedule, Duration)> {
         let (state, since) = unpack(self.state.load(Acquire));
         let by_state = match state {
@@ -153,7 +157,7 @@
                 Some(DrainSchedule::shutdown(longest))
             }
         };
-        let machine = self.machine_out_since.load(Relaxed);
+        let machine = self.machine_leaving_since.load(Relaxed);
         let by_machine = (machine != 0).then(|| Duration::from_micros(machine));
         let elapsed = move |since: Duration| now.saturating_sub(since);
         by_state
--- a/front/src/memory/resolved.rs
+++ b/front/src/memory/resolved.rs
@@ -1,4 +1,4 @@
-//! The members that names have led to.
+//! The members found by resolving the names of upstreams.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,16 +10,16 @@
 use crate::exchange::{MemberUpdate, MembersUpdate};
 use crate::memory::members::member_id;
 
-/// Members remembered; those that drain are forgotten first.
-const MOST: usize = 512;
+/// Maximum number of members; draining members are removed first.
+const MAX_MEMBERS: usize = 512;
 
-/// All names' members. The engine is told of all at once, whenever something of them has changed.
+/// The members of all names. The engine receives the complete set whenever a member changes.
 #[derive(Debug, Default)]
 pub struct Resolved(BTreeMap<MemberId, (Listing, MemberUpdate)>);
 
 impl Resolved {
-    /// Takes in where a name's members are now; the addresses that are draining from now on, or `None` where nothing
-    /// has changed.
+    /// Updates the members of an upstream from its resolved endpoints. Returns the addresses that now start draining,
+    /// or `None` if nothing changed.
     pub fn update(
         &mut self,
         upstream: &Upstream,
@@ -37,13 +37,13 @@
                 gone.extend(news.addr);
             }
         }
-        if self.0.len() >= MOST {
+        if self.0.len() >= MAX_MEMBERS {
             self.0.retain(|_, (listing, _)| listing.availability == Availability::Ready);
         }
         for endpoint in endpoints {
             let name = format!("{prefix}{}", endpoint.at);
             let member = member_id(&name);
-            if self.0.len() >= MOST && !self.0.contains_key(&member) {
+            if self.0.len() >= MAX_MEMBERS && !self.0.contains_key(&member) {
                 break;
             }
             let (cell, started_at, availability) = (CellId(0), None, Availability::Ready);
@@ -57,7 +57,7 @@
         changed.then_some(gone)
     }
 
-    /// All of them, as the engine takes them.
+    /// All members in the form that the engine takes.
     pub fn told(&self) -> (MembersUpdate, Event) {
         let (entries, members) = self.0.values().cloned().unzip();
         (MembersUpdate { full: false, members }, Event::List { update: ListUpdate::Delta, entries })
