--- a/deploy/sites/lay.sh
+++ b/deploy/sites/lay.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Lays what the bench wants beside a site file of ours: lay.sh FOLDER-OF-THE-OPERATORS-SITES. Nothing of it is committed.
+# Copies what the bench needs beside our site files: lay.sh FOLDER-OF-THE-OPERATORS-SITES. The copies are not committed.
 set -eu
 from=$1
 to=$(dirname "$0")
